--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -67,7 +67,7 @@
     /** Sets a request's priority: its weight, lower beyond its tenant's quota, for each unit of its work. */
     void prioritize(PendingRequest pending, long nowUs) {
         double weight = pending.requestClass().priorityWeight();
-        if (isOverQuota(pending.tenant(), nowUs)) {
+        if (!tryTakeQuota(pending.tenant(), nowUs)) {
             weight *= settings.overQuotaWeight();
         }
         meanPriorityWeight.add(weight);
@@ -75,13 +75,13 @@
         pending.setPriority(weight, weight / work);
     }
 
-    /** Takes a request from this node's part of a tenant's quota; returns whether the quota was used up. */
-    private boolean isOverQuota(int tenant, long nowUs) {
+    /** Takes a request from this node's part of a tenant's quota; returns whether it is within the quota. */
+    private boolean tryTakeQuota(int tenant, long nowUs) {
         if (tenant < 0) {
-            return false;
+            return true;
         }
         double quotaPerS = settings.tenants().get(tenant).quotaPerS() / clusterSize.nodes();
-        return quotaPerS > 0 && !quotas[tenant].tryTake(nowUs, quotaPerS, QUOTA_BURST_S);
+        return quotaPerS <= 0 || quotas[tenant].tryTake(nowUs, quotaPerS, QUOTA_BURST_S);
     }
 
     /** A request's priority weight as a multiple of the mean. */
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -25,6 +25,7 @@
     private final EndpointTable servers;
     private final AnswerStatistics responses;
     private final RelativeLatencies latencies;
+    private final ServerAdmission admission;
     private final ServerSelector selector;
     private final AttemptSender sender;
     private final AdmissionQueue queue;
@@ -38,6 +39,7 @@
             EndpointTable servers,
             AnswerStatistics responses,
             RelativeLatencies latencies,
+            ServerAdmission admission,
             ServerSelector selector,
             AttemptSender sender,
             AdmissionQueue queue) {
@@ -47,6 +49,7 @@
         this.servers = servers;
         this.responses = responses;
         this.latencies = latencies;
+        this.admission = admission;
         this.selector = selector;
         this.sender = sender;
         this.queue = queue;
@@ -56,7 +59,13 @@
     boolean tryStart(PendingRequest pending, long nowUs) {
         double meanUs = responses.meanLatencyUs(pending);
         long waitUs = Math.max(3 * settings.tickUs(), (long) (MAX_WAIT_SHARE * meanUs));
-        if (meanUs == 0 || !isWorthwhile(pending, waitUs, nowUs)) {
+        if (meanUs == 0 || !isEnabled()) {
+            return false;
+        }
+        if (selector.halfOpenServerOrNull(pending, nowUs) != null) {
+            return false;
+        }
+        if (pending.objectiveAtUs() - nowUs < 2 * waitUs || isTooExpensive(pending)) {
             return false;
         }
         Server first = selector.drawByZoneOrNull(pending, nowUs);
@@ -74,14 +83,14 @@
         return true;
     }
 
-    private boolean isWorthwhile(PendingRequest pending, long waitUs, long nowUs) {
+    /** Whether probes are allowed, and what this node knows of a server is too old to compare it by. */
+    private boolean isEnabled() {
+        return settings.probes() && clusterSize.nodes() > servers.ready().length;
+    }
+
+    private boolean isTooExpensive(PendingRequest pending) {
         double savings = queue.relativeWeight(pending) * responses.lateRatio() * EXPECTED_GAIN;
-        boolean tooExpensive = savings < PROBES_PER_REQUEST * settings.probePrice();
-        return settings.probes()
-                && clusterSize.nodes() > servers.ready().length
-                && selector.halfOpenServerOrNull(pending, nowUs) == null
-                && pending.objectiveAtUs() - nowUs >= 2 * waitUs
-                && !tooExpensive;
+        return savings < PROBES_PER_REQUEST * settings.probePrice();
     }
 
     private static boolean canCompare(Server first, Server second) {
@@ -116,7 +125,7 @@
 
     /** Sends a request that waits to a server whose probe has ended, or dispatches it if that was its last probe. */
     private void resolve(PendingRequest pending, Server server, boolean succeeded, long nowUs) {
-        if (succeeded && selector.tryAdmit(pending, server, nowUs)) {
+        if (succeeded && admission.tryAdmit(pending, server, nowUs)) {
             sender.send(pending, server, nowUs);
             return;
         }
--- a/node/src/main/java/tansypass/balancer/ServerSelector.java
+++ b/node/src/main/java/tansypass/balancer/ServerSelector.java
@@ -18,34 +18,27 @@
     private final EndpointTable servers;
     private final ErrorWeights weights;
     private final RelativeLatencies latencies;
-    private final SlowStart slowStart;
-    private final ConcurrencyLimiter limiter;
-    private final ClientThrottle throttle;
-    private final RetryRules rules;
+    private final ServerAdmission admission;
     private final SplittableRandom random;
-    private WeightedSampler<Server, PendingRequest> all = createSampler(new Server[0]);
+    private WeightedSampler<Server, PendingRequest> all;
     /** The servers of this node's own zone; the same as all where crossing zones is free. */
-    private WeightedSampler<Server, PendingRequest> local = all;
+    private WeightedSampler<Server, PendingRequest> local;
 
     ServerSelector(
             BalancerSettings settings,
             EndpointTable servers,
             ErrorWeights weights,
             RelativeLatencies latencies,
-            SlowStart slowStart,
-            ConcurrencyLimiter limiter,
-            ClientThrottle throttle,
-            RetryRules rules,
+            ServerAdmission admission,
             SplittableRandom random) {
         this.settings = settings;
         this.servers = servers;
         this.weights = weights;
         this.latencies = latencies;
-        this.slowStart = slowStart;
-        this.limiter = limiter;
-        this.throttle = throttle;
-        this.rules = rules;
+        this.admission = admission;
         this.random = random;
+        all = createSampler(servers.ready());
+        local = all;
     }
 
     /** Takes over the ready servers. */
@@ -59,7 +52,7 @@
     }
 
     private WeightedSampler<Server, PendingRequest> createSampler(Server[] from) {
-        return new WeightedSampler<>(from, server -> weights.weight(server), this::tryAdmit);
+        return new WeightedSampler<>(from, weights::weight, admission::tryAdmit);
     }
 
     private boolean isLocal(Server server) {
@@ -90,7 +83,7 @@
         for (int i = 1; i <= ready.length; i++) {
             Server next = ready[(failed.position() + i) % ready.length];
             boolean considered = !preferredOnly || isPreferredForRetry(next);
-            if (considered && !pending.hasTried(next) && tryAdmit(pending, next, nowUs)) {
+            if (considered && !pending.hasTried(next) && admission.tryAdmit(pending, next, nowUs)) {
                 return next;
             }
         }
@@ -109,7 +102,7 @@
         }
         for (Server server : servers.ready()) {
             boolean halfOpen = server.ejection.isHalfOpen(nowUs) && server.inFlight() == 0;
-            if (halfOpen && tryAdmitUnlimited(pending, server, nowUs)) {
+            if (halfOpen && admission.tryAdmitUnlimited(pending, server, nowUs)) {
                 return server;
             }
         }
@@ -124,7 +117,7 @@
         Server best = null;
         for (Server server : servers.ready()) {
             if (isLastResort(server, nowUs)
-                    && tryAdmitUnlimited(pending, server, nowUs)
+                    && admission.tryAdmitUnlimited(pending, server, nowUs)
                     && (best == null || server.ejection.failures() < best.ejection.failures())) {
                 best = server;
             }
@@ -201,28 +194,4 @@
             local.update();
         }
     }
-
-    /**
-     * Returns whether a request may be sent to a server under all rules and limits. Records a limit that was reached,
-     * and refills the budget of a server that is warming up.
-     */
-    boolean tryAdmit(PendingRequest pending, Server server, long nowUs) {
-        if (server.ejection.isEjected() || throttle.isThrottling()) {
-            return false;
-        }
-        if (limiter.isLimitReached(server)) {
-            server.limit.recordReached(nowUs);
-            return false;
-        }
-        return tryAdmitUnlimited(pending, server, nowUs);
-    }
-
-    /** As {@link #tryAdmit}, whatever the server's ejection and the limits. */
-    private boolean tryAdmitUnlimited(PendingRequest pending, Server server, long nowUs) {
-        if (!server.isReady()) {
-            return false;
-        }
-        slowStart.refillBudget(server, nowUs);
-        return slowStart.isWithinBudget(server, nowUs) && rules.isInScope(pending, server);
-    }
 }
--- a/node/src/main/java/tansypass/balancer/ServiceQLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/ServiceQLoadBalancer.java
@@ -45,12 +45,12 @@
         RelativeLatencies latencies = new RelativeLatencies(settings, servers, responses, connections);
         ConcurrencyLimiter limiter =
                 new ConcurrencyLimiter(settings, clusterSize, servers, responses, slowStart, throttle);
-        selector =
-                new ServerSelector(settings, servers, weights, latencies, slowStart, limiter, throttle, rules, random);
+        ServerAdmission admission = new ServerAdmission(slowStart, limiter, throttle, rules);
+        selector = new ServerSelector(settings, servers, weights, latencies, admission, random);
         sender = new AttemptSender(actions, servers, rules, responses, slowStart, throttle, connections);
         queue = new AdmissionQueue(settings, clusterSize, responses, rules, selector, sender, requests);
         probes = new ProbeSelection(
-                settings, actions, clusterSize, servers, responses, latencies, selector, sender, queue);
+                settings, actions, clusterSize, servers, responses, latencies, admission, selector, sender, queue);
         outcomes = new OutcomeRecorder(
                 servers, weights, ejection, latencies, slowStart, limiter, throttle, responses, connections);
     }
@@ -136,7 +136,10 @@
     @Override
     public void onOutcome(long nowUs, AttemptOutcome outcome) {
         PendingRequest pending = requests.findOrNull(outcome.requestId());
-        Attempt attempt = pending == null ? null : pending.attemptInFlightOrNull(outcome.attempt());
+        if (pending == null) {
+            return;
+        }
+        Attempt attempt = pending.attemptInFlightOrNull(outcome.attempt());
         if (attempt == null) {
             return;
         }
--- a/node/src/main/java/tansypass/balancer/WeightedSampler.java
+++ b/node/src/main/java/tansypass/balancer/WeightedSampler.java
@@ -63,7 +63,9 @@
             if (item != except && filter.accept(purpose, item, nowUs)) {
                 double itemWeight = weight.applyAsDouble(item);
                 total += itemWeight;
-                drawn = random.nextDouble() * total < itemWeight ? item : drawn;
+                if (random.nextDouble() * total < itemWeight) {
+                    drawn = item;
+                }
             }
         }
         return drawn;
@@ -72,6 +74,7 @@
     private int position(double uniform) {
         int last = sums.length - 1;
         int found = Arrays.binarySearch(sums, uniform * sums[last]);
-        return Math.min(last, found < 0 ? -1 - found : found + 1);
+        int firstAbove = found < 0 ? -1 - found : found + 1;
+        return Math.min(last, firstAbove);
     }
 }
