--- a/node/src/test/java/tansypass/node/ChildNodeProcess.java
+++ b/node/src/test/java/tansypass/node/ChildNodeProcess.java
@@ -3,17 +3,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
 /** A node's program running in a process of its own; its standard error goes to its standard output. */
 final class ChildNodeProcess {
+    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.PATIENCE_S);
+
+    /** Ended through its handle: {@link Process#destroy} would close the stream of the output. */
     private final Process process;
 
+    private final ProcessOutput output;
+
     /**
      * Starts the program through a shell.
      *
@@ -38,6 +42,7 @@
             environment.put("LB_CONFIG", configFile);
         }
         process = builder.redirectErrorStream(true).start();
+        output = new ProcessOutput(process.getInputStream());
     }
 
     boolean isAlive() {
@@ -57,7 +62,7 @@
 
     /** Sends SIGTERM. */
     void terminate() {
-        process.destroy();
+        process.toHandle().destroy();
     }
 
     /** Sends SIGHUP. */
@@ -66,29 +71,30 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Returns a reader of the output; it may be read in this way only. */
-    BufferedReader outputReader() {
-        return process.inputReader(StandardCharsets.UTF_8);
+    /** Waits until the program has printed this text; fails with its output after {@link FakePeer#PATIENCE_S}. */
+    void awaitPrinted(String expected) throws InterruptedException {
+        output.awaitText(expected, PATIENCE);
     }
 
-    /** Reads the output until the process exits. */
-    String readOutput() throws IOException {
-        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    /** Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#PATIENCE_S}. */
+    String awaitOutputEnd() throws InterruptedException {
+        return output.awaitEnd(PATIENCE);
     }
 
-    /** Kills the process and returns its output, or the error with which reading that failed. */
+    /** Kills the process and returns its output. */
     String killAndReadOutput() {
-        // Killed by its handle: Process.destroyForcibly would close the stream that is read here.
         process.toHandle().destroyForcibly();
         try {
-            return readOutput();
-        } catch (IOException e) {
+            return awaitOutputEnd();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
             return e.toString();
         }
     }
 
     /** Kills the process and waits for its end. */
     void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor();
+        process.toHandle().destroyForcibly();
+        process.waitFor();
     }
 }
--- a/node/src/test/java/tansypass/node/MainTest.java
+++ b/node/src/test/java/tansypass/node/MainTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
-import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -126,11 +125,7 @@
         Socket oldWatch = FakePeer.awaitNext(discovery.accepted);
         Files.writeString(file, "{");
         process.hangUp();
-        BufferedReader output = process.outputReader();
-        String line = output.readLine();
-        while (!line.contains("the old one stays")) {
-            line = output.readLine();
-        }
+        process.awaitPrinted("the old one stays");
         try (FakePeer moved = new FakePeer(FakePeer.SILENT)) {
             config.addProperty("discovery", moved.address());
             Files.writeString(file, config.toString());
@@ -233,7 +228,7 @@
         config.remove("admin");
         config.addProperty("listen", server.address());
         run(Fixture.writeConfigFile(config).toString(), "");
-        String output = process.readOutput();
+        String output = process.awaitOutputEnd();
         process.assertExits(1, output);
         List<String> lines = output.lines().toList();
         assertTrue(lines.get(lines.size() - 1).contains("can't listen for clients"), output);
@@ -249,7 +244,7 @@
     }
 
     private void assertExitsWithOneLine(String named, int code) throws Exception {
-        String output = process.readOutput();
+        String output = process.awaitOutputEnd();
         process.assertExits(code, output);
         assertTrue(output.contains(named) && output.lines().count() == 1, output);
     }
