--- a/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
+++ b/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
@@ -30,7 +30,7 @@
         });
         ClusterSizeEstimator estimator = new ClusterSizeEstimator(listener::onClusterSize);
         poller.scheduleWithFixedDelay(
-                () -> estimator.update(member.view(), member.viewAgeUs()),
+                () -> member.view().ifPresent(view -> estimator.update(view, member.viewAgeUs())),
                 POLL_INTERVAL_MS,
                 POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
--- a/cli/src/main/java/tansypass/cli/Membership.java
+++ b/cli/src/main/java/tansypass/cli/Membership.java
@@ -1,17 +1,19 @@
 package tansypass.cli;
 
-import java.io.IOException;
 import java.security.SecureRandom;
 import java.time.Clock;
 import java.util.Locale;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MessageCodec;
 import tansypass.cluster.membership.Role;
+import tansypass.cluster.transport.ClusterBindException;
 import tansypass.cluster.transport.ClusterMember;
 import tansypass.config.NodeFile;
 
@@ -44,10 +46,10 @@
                 file.cluster().listen(),
                 file.cluster().seeds(),
                 random.nextLong(),
-                Membership::logChange);
+                new LoggingListener());
         try {
             member.start();
-        } catch (IOException e) {
+        } catch (ClusterBindException e) {
             LOG.atError()
                     .addKeyValue("event", "fleet.closed")
                     .addKeyValue("reason", e.getMessage())
@@ -60,17 +62,31 @@
         return member;
     }
 
-    private static void logChange(Member before, Member after) {
-        Member member = after == null ? before : after;
-        String state = after == null ? "forgotten" : after.state().name().toLowerCase(Locale.ROOT);
-        boolean isUnchangedState = after != null && before != null && after.state() == before.state();
-        LoggingEventBuilder event = isUnchangedState ? LOG.atDebug() : LOG.atInfo();
-        event.addKeyValue("event", "member." + state)
-                .addKeyValue("member", member.identity().name())
-                .addKeyValue("generation", member.identity().generation())
-                .addKeyValue("incarnation", member.incarnation())
-                .addKeyValue("zone", member.identity().zone())
-                .addKeyValue("by", member.suspectedBy())
-                .log("member state changed to {}", state);
+    /** Logs changes of the view; those that keep a member's state only at debug level. */
+    private static final class LoggingListener implements MemberListener {
+        @Override
+        public void onUpdate(Optional<Member> before, Member after) {
+            boolean isUnchangedState =
+                    before.isPresent() && after.state() == before.get().state();
+            logChange(
+                    isUnchangedState ? LOG.atDebug() : LOG.atInfo(),
+                    after,
+                    after.state().name().toLowerCase(Locale.ROOT));
+        }
+
+        @Override
+        public void onReap(Member reaped) {
+            logChange(LOG.atInfo(), reaped, "forgotten");
+        }
+
+        private static void logChange(LoggingEventBuilder event, Member member, String state) {
+            event.addKeyValue("event", "member." + state)
+                    .addKeyValue("member", member.identity().name())
+                    .addKeyValue("generation", member.identity().generation())
+                    .addKeyValue("incarnation", member.incarnation())
+                    .addKeyValue("zone", member.identity().zone())
+                    .addKeyValue("by", member.suspectedBy())
+                    .log("member state changed to {}", state);
+        }
     }
 }
--- a/cli/src/main/java/tansypass/cli/MetricsPage.java
+++ b/cli/src/main/java/tansypass/cli/MetricsPage.java
@@ -24,6 +24,8 @@
 final class MetricsPage implements UnaryOperator<String> {
     private static final Pattern REQUESTS = Pattern.compile("node\\.requests\\.(.+)\\.(served|refused|failed)");
 
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private Map<String, Long> nodeMetrics = Map.of();
 
@@ -78,32 +80,25 @@
         GaugeWithCallback.builder()
                 .name("tansypass_membership_disagreement_seconds")
                 .help("Since a peer last had the same view, or since the start.")
-                .callback(metric -> {
-                    if (member.view() != null) {
-                        metric.call((member.view().takenAtUs() - member.view().lastAgreedUs()) / 1e6);
-                    }
-                })
+                .callback(metric -> member.view()
+                        .ifPresent(view -> metric.call((view.takenAtUs() - view.lastAgreedUs()) / MICROS_PER_SECOND)))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("tansypass_fleet_nodes")
                 .labelNames("state")
                 .help("Nodes that take clients, and lost ones, as the node's share is worked out from.")
-                .callback(metric -> {
-                    if (member.view() != null) {
-                        metric.call(member.view().servingCount(Role.NODE), "taking");
-                        metric.call(member.view().failedWhileServingCount(Role.NODE), "lost");
-                    }
-                })
+                .callback(metric -> member.view().ifPresent(view -> {
+                    metric.call(view.servingCount(Role.NODE), "taking");
+                    metric.call(view.failedWhileServingCount(Role.NODE), "lost");
+                }))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("tansypass_members_present")
                 .labelNames("zone")
                 .help("Nodes that this process holds to be present.")
-                .callback(metric -> {
-                    if (member.view() != null) {
-                        member.view().presentByZone(Role.NODE).forEach((zone, present) -> metric.call(present, zone));
-                    }
-                })
+                .callback(metric -> member.view()
+                        .ifPresent(view ->
+                                view.presentByZone(Role.NODE).forEach((zone, present) -> metric.call(present, zone))))
                 .register(registry);
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.membership.MembershipCounters.Name;
 import tansypass.cluster.membership.Message.Envelope;
@@ -114,24 +115,24 @@
         network.pushPull(peer, encodedView(), this::onPullResult);
     }
 
-    private void onPullResult(byte[] view) {
+    private void onPullResult(Optional<byte[]> view) {
         openSyncs--;
         if (state.isStopped()) {
             return;
         }
-        if (view == null || !mergeView(view)) {
-            state.counters().increment(Name.EXCHANGES_FAILED);
-        } else {
+        if (view.isPresent() && mergeView(view.get())) {
             state.setJoined(true);
+        } else {
+            state.counters().increment(Name.EXCHANGES_FAILED);
         }
     }
 
-    /** Merges a peer's view and returns this process's own, or null if it is rejected. */
-    byte[] onPushPull(byte[] view) {
+    /** Merges a peer's view and returns this process's own; empty if the peer's is rejected. */
+    Optional<byte[]> onPushPull(byte[] view) {
         if (state.isStopped() || state.isSuperseded() || !mergeView(view)) {
-            return null;
+            return Optional.empty();
         }
-        return encodedView();
+        return Optional.of(encodedView());
     }
 
     private byte[] encodedView() {
@@ -176,8 +177,7 @@
         if (update.state() != MemberState.FAILED || identity.name().equals(peer)) {
             return false;
         }
-        Member known = state.table().get(identity.name());
-        return known != null && known.isPresent() && known.identity().isSameProcess(identity);
+        return state.table().findPresent(identity).isPresent();
     }
 
     /**
@@ -202,7 +202,7 @@
         if (sender.digest().equals(digest)) {
             lastAgreedUs = state.scheduler().nowUs();
         } else if (!sender.digest().isEmpty()) {
-            syncIfSettled(state.table().get(sender.from()));
+            state.table().find(sender.from()).filter(Member::isPresent).ifPresent(this::syncIfSettled);
         }
     }
 
@@ -211,7 +211,7 @@
         long settledUs = SETTLED_PERIODS * state.settings().periodUs();
         boolean isSettled = nowUs - state.table().lastPutUs() > settledUs;
         boolean mayStart = nowUs >= nextDigestSyncUs && openSyncs == 0;
-        if (sender != null && sender.isPresent() && isSettled && mayStart) {
+        if (isSettled && mayStart) {
             nextDigestSyncUs = nowUs + settledUs + state.jittered(settledUs);
             state.counters().increment(Name.VIEWS_COMPARED);
             syncWith(sender.identity().address());
--- a/cluster/src/main/java/tansypass/cluster/membership/BroadcastQueue.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/BroadcastQueue.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
 
@@ -79,15 +80,15 @@
      * Selects the updates for one datagram, and counts them as sent; removes those that have been sent often enough.
      *
      * @param maxBytes the limit on the sum of their encoded sizes
-     * @param first precedes all others, whether it is queued or not; may be null
+     * @param first precedes all others, whether it is queued or not
      * @param clusterSize the number of known members
      */
-    List<Member> take(int maxBytes, Member first, int clusterSize) {
+    List<Member> take(int maxBytes, Optional<Member> first, int clusterSize) {
         List<Member> taken = new ArrayList<>();
         int bytesLeft = maxBytes;
-        if (first != null) {
-            taken.add(first);
-            bytesLeft -= encodedSize.applyAsInt(first);
+        if (first.isPresent()) {
+            taken.add(first.get());
+            bytesLeft -= encodedSize.applyAsInt(first.get());
         }
         int maxTransmits = (int) Math.ceil(retransmitMultiplier * Math.log10(clusterSize + 1.0));
         for (Broadcast broadcast : selectFitting(bytesLeft, first)) {
@@ -104,7 +105,7 @@
 
     /** Returns the updates sent least often, up to the first that does not fit, without the excluded one. */
     @SuppressWarnings("ReferenceEquality") // The very update, not one that equals it.
-    private List<Broadcast> selectFitting(int maxBytes, Member excluded) {
+    private List<Broadcast> selectFitting(int maxBytes, Optional<Member> excluded) {
         List<Broadcast> fitting = new ArrayList<>();
         int bytesLeft = maxBytes;
         for (Map<String, Broadcast> sentAsOften : byTransmits.values()) {
@@ -112,7 +113,7 @@
                 if (broadcast.bytes > bytesLeft) {
                     return fitting;
                 }
-                if (broadcast.update != excluded) {
+                if (excluded.isEmpty() || broadcast.update != excluded.get()) {
                     bytesLeft -= broadcast.bytes;
                     fitting.add(broadcast);
                 }
--- a/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
@@ -31,11 +31,10 @@
     /**
      * Counts a view.
      *
-     * @param view may be null if there is none
      * @param ageUs how old it is, microseconds
      */
     public void update(MembershipView view, long ageUs) {
-        boolean isUsable = view != null && view.joined() && ageUs <= MAX_VIEW_AGE_US;
+        boolean isUsable = view.joined() && ageUs <= MAX_VIEW_AGE_US;
         int nowServing = isUsable ? view.servingCount(Role.NODE) : 0;
         int nowFailed = isUsable ? view.failedWhileServingCount(Role.NODE) : 0;
         if (nowServing != serving || nowFailed != failed) {
--- a/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
@@ -1,6 +1,7 @@
 package tansypass.cluster.membership;
 
 import java.net.InetSocketAddress;
+import java.util.Optional;
 import tansypass.cluster.membership.Message.Envelope;
 
 /**
@@ -56,7 +57,7 @@
             return;
         }
         for (Member peer : state.randomPeers(state.settings().gossipFanout(), "")) {
-            Envelope envelope = newEnvelope(null);
+            Envelope envelope = newEnvelope();
             if (!envelope.updates().isEmpty()) {
                 send(peer.identity().address(), new Message.Gossip(envelope));
             }
@@ -66,12 +67,17 @@
     /** Notifies some random peers that this process leaves. */
     void sendLeave(Member left) {
         for (Member peer : state.randomPeers(LEAVE_FANOUT, "")) {
-            send(peer.identity().address(), new Message.Gossip(newEnvelope(left)));
+            send(peer.identity().address(), new Message.Gossip(newEnvelope(Optional.of(left))));
         }
     }
 
-    /** Creates an envelope with the updates that fit, {@code firstUpdate} before all others unless it is null. */
-    Envelope newEnvelope(Member firstUpdate) {
+    /** Creates an envelope with the updates that fit. */
+    Envelope newEnvelope() {
+        return newEnvelope(Optional.empty());
+    }
+
+    /** Creates an envelope with the updates that fit, {@code firstUpdate} before all others. */
+    Envelope newEnvelope(Optional<Member> firstUpdate) {
         return new Envelope(
                 state.self().deployment(),
                 MessageCodec.VERSION,
--- a/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
@@ -1,6 +1,7 @@
 package tansypass.cluster.membership;
 
 import java.net.InetSocketAddress;
+import java.util.Optional;
 import tansypass.cluster.membership.MembershipCounters.Name;
 
 /**
@@ -53,10 +54,9 @@
         if (state.isSuperseded()) {
             return;
         }
-        String name = order.next(state::presentPeerNames, state::isPresentPeer);
-        if (name != null) {
-            probe(state.table().get(name));
-        }
+        order.next(state::presentPeerNames, state::isPresentPeer)
+                .flatMap(state.table()::find)
+                .ifPresent(this::probe);
     }
 
     private long scaledByHealth(long timeUs) {
@@ -78,7 +78,7 @@
     /** Pings a member under a number that may or may not be that of an outstanding probe. */
     void ping(Member target, long number) {
         // A suspect is always notified of the suspicion, so that it can refute it (Lifeguard, section IV C).
-        Member firstUpdate = target.state() == MemberState.SUSPECT ? target : null;
+        Optional<Member> firstUpdate = Optional.of(target).filter(member -> member.state() == MemberState.SUSPECT);
         Identity identity = target.identity();
         dissemination.send(
                 identity.address(), new Message.Ping(dissemination.newEnvelope(firstUpdate), number, identity.name()));
@@ -94,7 +94,7 @@
             probes.awaitNack(number, helper.identity().name());
             dissemination.send(
                     helper.identity().address(),
-                    new Message.PingRequest(dissemination.newEnvelope(null), number, targetName));
+                    new Message.PingRequest(dissemination.newEnvelope(), number, targetName));
         }
     }
 
@@ -106,11 +106,12 @@
         state.counters().increment(Name.PROBES_FAILED);
         // If helpers did not even send a nack, it may be this process that receives nothing.
         state.health().degrade(Math.max(1, missingNacks));
-        Member known = state.table().get(target.identity().name());
-        if (known != null && known.isPresent() && known.identity().isSameProcess(target.identity())) {
-            updates.apply(known.withState(
-                    MemberState.SUSPECT, known.incarnation(), state.self().name()));
-        }
+        state.table().findPresent(target.identity()).ifPresent(this::suspect);
+    }
+
+    private void suspect(Member member) {
+        updates.apply(member.withState(
+                MemberState.SUSPECT, member.incarnation(), state.self().name()));
     }
 
     /** Responds to a ping, unless it is meant for another process that had this address before. */
@@ -119,8 +120,8 @@
             return;
         }
         Message.Envelope sender = ping.envelope();
-        Member firstUpdate =
-                believesSelfGone(sender) ? state.table().get(state.self().name()) : refutableEntryOf(sender);
+        Optional<Member> firstUpdate =
+                believesSelfGone(sender) ? state.table().find(state.self().name()) : refutableEntryOf(sender);
         dissemination.send(from, new Message.Ack(dissemination.newEnvelope(firstUpdate), ping.number()));
     }
 
@@ -132,34 +133,32 @@
     }
 
     /**
-     * Returns the entry that has the sender as not alive, or null: since it pings, it may not know that it has to
-     * refute this.
+     * Returns the entry that has the sender as not alive, if there is one: since it pings, it may not know that it has
+     * to refute this.
      */
-    private Member refutableEntryOf(Message.Envelope sender) {
-        Member known = state.table().get(sender.from());
-        boolean isRefutable = known != null
-                && known.state() != MemberState.ALIVE
-                && known.identity().generation() >= sender.generation();
-        return isRefutable ? known : null;
+    private Optional<Member> refutableEntryOf(Message.Envelope sender) {
+        return state.table()
+                .find(sender.from())
+                .filter(known -> known.state() != MemberState.ALIVE)
+                .filter(known -> known.identity().generation() >= sender.generation());
     }
 
     /** Probes a member on behalf of another process, and forwards its ack, or sends a nack if there is none in time. */
     void onPingRequest(InetSocketAddress requester, Message.PingRequest request) {
-        Member target = state.table().get(request.target());
-        if (target == null || probes.size() >= MAX_OUTSTANDING_PROBES) {
+        Optional<Member> target = state.table().find(request.target());
+        if (target.isEmpty() || probes.size() >= MAX_OUTSTANDING_PROBES) {
             state.counters().increment(Name.DROPPED_BUSY);
             return;
         }
         long number = state.nextSequenceNumber();
         probes.begin(
                 number,
-                () -> dissemination.send(
-                        requester, new Message.Ack(dissemination.newEnvelope(null), request.number())));
-        ping(target, number);
+                () -> dissemination.send(requester, new Message.Ack(dissemination.newEnvelope(), request.number())));
+        ping(target.get(), number);
         long nackDelayUs = Math.round(state.settings().probeTimeoutUs() * NACK_DELAY_SHARE);
         state.scheduler().after(nackDelayUs, () -> {
             if (probes.isOutstanding(number)) {
-                dissemination.send(requester, new Message.Nack(dissemination.newEnvelope(null), request.number()));
+                dissemination.send(requester, new Message.Nack(dissemination.newEnvelope(), request.number()));
             }
         });
         state.scheduler().after(state.settings().periodUs(), () -> probes.end(number));
--- a/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
@@ -16,8 +16,8 @@
     private final Dissemination dissemination;
     private final OutstandingProbes probes;
     private final MemberUpdates updates;
-    /** A later generation of this name at another address, which responds or may respond; null without a conflict. */
-    private Identity namesake;
+    /** Whether a later generation of this name at another address, the namesake, responds or may respond. */
+    private boolean hasNamesake;
 
     IncarnationGuard(
             ProtocolState state, Dissemination dissemination, OutstandingProbes probes, MemberUpdates updates) {
@@ -48,7 +48,7 @@
         Identity subject = update.identity();
         if (subject.isSameProcess(state.self())) {
             defend(update);
-        } else if (subject.supersedes(state.self()) && namesake == null) {
+        } else if (subject.supersedes(state.self()) && !hasNamesake) {
             state.counters().increment(Name.NAME_CONFLICTS);
             boolean isEarlierRun =
                     !update.isPresent() || subject.address().equals(state.self().address());
@@ -84,7 +84,7 @@
 
     /** While another process of this name and a later generation responds, this one stays out of the cluster. */
     private void pingNamesake(Identity other) {
-        namesake = other;
+        hasNamesake = true;
         long number = state.nextSequenceNumber();
         probes.begin(number, () -> {
             state.setSuperseded();
@@ -93,10 +93,10 @@
         dissemination.send(
                 other.address(),
                 new Message.Ping(
-                        dissemination.newEnvelope(null), number, state.self().name()));
+                        dissemination.newEnvelope(), number, state.self().name()));
         state.scheduler().after(state.settings().periodUs() * CONFLICT_PING_PERIODS, () -> {
             if (probes.end(number) && !state.isStopped()) {
-                namesake = null;
+                hasNamesake = false;
                 supersede(other);
             }
         });
--- a/cluster/src/main/java/tansypass/cluster/membership/JoinProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/JoinProtocol.java
@@ -2,6 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import tansypass.cluster.membership.Message.Envelope;
 
 /**
@@ -44,11 +45,11 @@
 
     /** Syncs with a sender that is not in the table, or is there only in an earlier generation. */
     void learnOfSender(InetSocketAddress from, Envelope sender) {
-        Member known = state.table().get(sender.from());
-        boolean isUnknown = known == null || known.identity().generation() < sender.generation();
+        Optional<Identity> known = state.table().find(sender.from()).map(Member::identity);
+        boolean isUnknown = known.isEmpty() || known.get().generation() < sender.generation();
         boolean isSelf = sender.from().equals(state.self().name());
         if (isUnknown && !isSelf && antiEntropy.openSyncs() < MAX_OPEN_SYNCS) {
-            antiEntropy.syncWith(known == null ? from : known.identity().address());
+            antiEntropy.syncWith(known.map(Identity::address).orElse(from));
         }
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberFields.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberFields.java
@@ -31,19 +31,26 @@
                 MessageDecoder.require(generation, WireKey.GENERATION),
                 MessageDecoder.require(nonce, WireKey.NONCE),
                 MessageDecoder.require(zone, WireKey.ZONE),
-                parseConstant(Role.class, MessageDecoder.require(role, WireKey.ROLE)),
+                parseConstant(Role.values(), role, WireKey.ROLE),
                 parseNumericAddress(MessageDecoder.require(address, WireKey.ADDRESS)),
                 "",
                 MessageDecoder.require(oldestVersion, WireKey.OLDEST_VERSION).intValue(),
                 MessageDecoder.require(newestVersion, WireKey.NEWEST_VERSION).intValue());
         long checkedIncarnation = MessageDecoder.require(incarnation, WireKey.INCARNATION);
         MessageDecoder.check(checkedIncarnation >= 0, "negative incarnation");
-        MemberState parsedState = parseConstant(MemberState.class, MessageDecoder.require(state, WireKey.STATE));
+        MemberState parsedState = parseConstant(MemberState.values(), state, WireKey.STATE);
         return new Member(identity, parsedState, checkedIncarnation, suspectedBy, isDraining);
     }
 
-    private static <E extends Enum<E>> E parseConstant(Class<E> type, String text) {
-        return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
+    private static <E extends Enum<E>> E parseConstant(E[] constants, String text, String key)
+            throws MalformedMessageException {
+        String name = MessageDecoder.require(text, key).toUpperCase(Locale.ROOT);
+        for (E constant : constants) {
+            if (constant.name().equals(name)) {
+                return constant;
+            }
+        }
+        throw new MalformedMessageException(key + " is unknown");
     }
 
     /** Accepts numeric addresses only: resolving a name would block, and query a DNS server that a peer chose. */
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberTable.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberTable.java
@@ -5,6 +5,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import tansypass.cluster.runtime.RandomStreams;
@@ -18,16 +19,31 @@
     private long lastPutUs;
     /** The exclusive or of a hash of each present member, so that their order does not matter. */
     private long presentHash;
-    /** Cached; null after a change, until it is next requested. */
-    private List<Member> present;
+    /** The present members; recomputed on request if it is outdated. */
+    private List<Member> present = List.of();
+
+    private boolean isPresentOutdated;
 
     MemberTable(int maxMembers) {
         this.maxMembers = maxMembers;
     }
 
-    /** The entry of a name, or null. */
-    Member get(String name) {
-        return members.get(name);
+    /** The entry of a name; empty if the name is unknown. */
+    Optional<Member> find(String name) {
+        return Optional.ofNullable(members.get(name));
+    }
+
+    /** The entry of a process, if it counts as present. */
+    Optional<Member> findPresent(Identity process) {
+        return find(process.name())
+                .filter(Member::isPresent)
+                .filter(member -> member.identity().isSameProcess(process));
+    }
+
+    /** Whether this very entry is in the table: it has not been replaced since, not even by an equal one. */
+    @SuppressWarnings("ReferenceEquality")
+    boolean isCurrent(Member entry) {
+        return members.get(entry.identity().name()) == entry;
     }
 
     /** A copy of all entries, by name. */
@@ -37,15 +53,16 @@
 
     /** The entries of all present members, by name. */
     List<Member> present() {
-        if (present == null) {
+        if (isPresentOutdated) {
+            isPresentOutdated = false;
             present = members.values().stream().filter(Member::isPresent).toList();
         }
         return present;
     }
 
-    /** Returns whether an entry of this name can be put: the number of names is bounded. */
-    boolean hasCapacityFor(String name) {
-        return members.containsKey(name) || members.size() < maxMembers;
+    /** Whether there is no capacity for a further name: their number is bounded. */
+    boolean isFull() {
+        return members.size() >= maxMembers;
     }
 
     /** Puts an entry in place of an earlier one of the same name. */
@@ -53,20 +70,22 @@
         String name = member.identity().name();
         changedAtUs.put(name, nowUs);
         lastPutUs = nowUs;
-        Member before = members.put(name, member);
-        presentHash ^= hash(before) ^ hash(member);
+        presentHash ^= hashOf(name);
+        members.put(name, member);
+        presentHash ^= hashOf(name);
         onChanged();
     }
 
     void remove(String name) {
         changedAtUs.remove(name);
-        presentHash ^= hash(members.remove(name));
+        presentHash ^= hashOf(name);
+        members.remove(name);
         onChanged();
     }
 
     private void onChanged() {
         version++;
-        present = null;
+        isPresentOutdated = true;
     }
 
     /** When each entry last changed, by name; microseconds of the clock that {@link #put} is given. */
@@ -93,10 +112,12 @@
         return HexFormat.of().toHexDigits(presentHash);
     }
 
+    /** The hash of a present member; 0 for any other. */
+    private long hashOf(String name) {
+        return find(name).filter(Member::isPresent).map(MemberTable::hash).orElse(0L);
+    }
+
     private static long hash(Member member) {
-        if (member == null || !member.isPresent()) {
-            return 0;
-        }
         Identity identity = member.identity();
         return RandomStreams.seedOf(identity.nonce(), identity.name() + ' ' + identity.generation());
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/Membership.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Membership.java
@@ -1,6 +1,7 @@
 package tansypass.cluster.membership;
 
 import java.net.InetSocketAddress;
+import java.util.Optional;
 
 /**
  * A membership protocol as one process runs it; the program's is {@link SwimProtocol}. Single-threaded: all calls come
@@ -36,7 +37,7 @@
     /**
      * Handles a push-pull sync that a peer began, by merging its encoded view.
      *
-     * @return this process's own encoded view, or null if the peer's is rejected
+     * @return this process's own encoded view; empty if the peer's is rejected
      */
-    byte[] onPushPull(byte[] view);
+    Optional<byte[]> onPushPull(byte[] view);
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
@@ -47,7 +47,8 @@
             check(parser.nextToken() == null, "bytes after its end");
             return fields;
         } catch (IOException | RuntimeException e) {
-            // Jackson's own messages quote the input, so they are not part of this one.
+            // Unchecked ones too: no datagram, whatever its bytes, may end the event loop's handler. Jackson's own
+            // messages quote the input, so they are not part of this one.
             throw new MalformedMessageException("malformed", e);
         }
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.Locale;
 
 /** Writes messages and views in the encoding of its factory. Their keys and values are the wire format. */
@@ -30,7 +31,7 @@
             content.writeTo(out);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory can't fail", e);
+            throw new UncheckedIOException("writing to memory can't fail", e);
         }
         return bytes.toByteArray();
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
@@ -138,8 +138,8 @@
 
     /** Whether a name belongs to a present member other than this process. */
     boolean isPresentPeer(String name) {
-        Member member = table.get(name);
-        return member != null && member.isPresent() && !name.equals(self.name());
+        return !name.equals(self.name())
+                && table.find(name).filter(Member::isPresent).isPresent();
     }
 
     /** The names of all present members but this process. */
--- a/cluster/src/main/java/tansypass/cluster/membership/SuspicionTracker.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SuspicionTracker.java
@@ -63,21 +63,18 @@
     }
 
     /** Pings the suspect before declaring it failed: its refutation may not have reached this process. */
-    @SuppressWarnings("ReferenceEquality") // The very entry that was suspected, not one that equals it.
     private void pingBeforeFailing(Member suspect, int pingsSent) {
         if (pingsSent == FINAL_PINGS) {
             fail(suspect);
-        } else if (!state.isStopped() && state.table().get(suspect.identity().name()) == suspect) {
+        } else if (!state.isStopped() && state.table().isCurrent(suspect)) {
             detector.ping(suspect, state.nextSequenceNumber());
             long waitUs = state.settings().probeTimeoutUs() / 3 * state.health().multiplier();
             state.scheduler().after(waitUs, () -> pingBeforeFailing(suspect, pingsSent + 1));
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // As above.
     private void fail(Member suspect) {
-        Member known = state.table().get(suspect.identity().name());
-        if (!state.isStopped() && known == suspect) {
+        if (!state.isStopped() && state.table().isCurrent(suspect)) {
             state.counters().increment(Name.FAILED);
             updates.adopt(suspect.withState(MemberState.FAILED, suspect.incarnation(), ""));
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
@@ -1,10 +1,8 @@
 package tansypass.cluster.membership;
 
 import java.net.InetSocketAddress;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.MembershipCounters.Name;
 import tansypass.cluster.membership.Message.Envelope;
@@ -16,38 +14,30 @@
  * Awareness for More Accurate Failure Detection", 2017).
  *
  * <p>It owns the state, routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
- * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}) and decides which updates enter the member
- * table. Single-threaded: all calls come from the loop of its {@link Scheduler}. It never blocks, and its memory is
- * bounded whatever peers send.
+ * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}, {@link MemberTableUpdater}). Single-threaded: all
+ * calls come from the loop of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers send.
  */
 public final class SwimProtocol implements Membership {
     private final ProtocolState state;
     private final MessageCodec codec = new MessageCodec();
-    private final OutstandingProbes probes = new OutstandingProbes();
-    private final ProbeOrder order;
     private final PeerFilter filter;
     private final Dissemination dissemination;
     private final FailureDetector detector;
-    private final SuspicionTracker suspicions;
     private final AntiEntropy antiEntropy;
     private final JoinProtocol joining;
     private final IncarnationGuard incarnations;
-    private final BiConsumer<Member, Member> onChange;
-    private final Map<String, Scheduler.Timer> reapTimers = new HashMap<>();
+    private final MemberTableUpdater tableUpdater;
 
-    /**
-     * Receives the updates that the parts produce. The parts are created with it, before the protocol is complete; it
-     * is called only after the start.
-     */
-    private final class TableUpdates implements MemberUpdates {
+    /** Forwards updates to the {@link MemberTableUpdater}, which is created after the parts that produce them. */
+    private final class ForwardedUpdates implements MemberUpdates {
         @Override
         public void apply(Member update) {
-            applyUpdate(update);
+            tableUpdater.apply(update);
         }
 
         @Override
         public void adopt(Member member) {
-            adoptEntry(member);
+            tableUpdater.adopt(member);
         }
     }
 
@@ -60,8 +50,7 @@
      * @param scheduler clock and timers; its thread makes all calls
      * @param random for jitter and the choice of peers
      * @param network sends datagrams and push-pull syncs; delivers its results on the scheduler's thread
-     * @param onChange called on the scheduler's thread with each change of the view: the entry before, or null for
-     *     a new member, and the entry after, or null for one that was reaped
+     * @param listener called on the scheduler's thread with each change of the view
      */
     public SwimProtocol(
             MembershipSettings settings,
@@ -70,20 +59,21 @@
             Scheduler scheduler,
             UniformRandomProvider random,
             Network network,
-            BiConsumer<Member, Member> onChange) {
-        this.onChange = onChange;
+            MemberListener listener) {
         state = new ProtocolState(settings, self, scheduler, random);
-        order = new ProbeOrder(random);
         filter = new PeerFilter(state);
-        MemberUpdates updates = new TableUpdates();
+        ProbeOrder probeOrder = new ProbeOrder(random);
+        OutstandingProbes probes = new OutstandingProbes();
+        MemberUpdates updates = new ForwardedUpdates();
         List<InetSocketAddress> otherSeeds =
                 seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
         dissemination = new Dissemination(state, network, codec);
-        detector = new FailureDetector(state, dissemination, probes, order, updates);
-        suspicions = new SuspicionTracker(state, detector, updates);
+        detector = new FailureDetector(state, dissemination, probes, probeOrder, updates);
+        SuspicionTracker suspicions = new SuspicionTracker(state, detector, updates);
         antiEntropy = new AntiEntropy(state, network, codec, filter, otherSeeds, updates);
         joining = new JoinProtocol(state, antiEntropy, otherSeeds);
         incarnations = new IncarnationGuard(state, dissemination, probes, updates);
+        tableUpdater = new MemberTableUpdater(state, dissemination, probeOrder, suspicions, incarnations, listener);
     }
 
     /** Begins to join, probe, gossip and sync. */
@@ -104,7 +94,7 @@
             return;
         }
         Member left = state.selfAsLeft();
-        adoptEntry(left);
+        tableUpdater.adopt(left);
         dissemination.sendLeave(left);
         state.setStopped();
     }
@@ -181,7 +171,7 @@
         if (!filter.accepts(envelope) || isIgnored) {
             return;
         }
-        envelope.updates().forEach(this::applyUpdate);
+        envelope.updates().forEach(tableUpdater::apply);
         route(from, message);
         joining.learnOfSender(from, envelope);
         antiEntropy.compareDigest(envelope);
@@ -200,81 +190,7 @@
     }
 
     @Override
-    public byte[] onPushPull(byte[] view) {
+    public Optional<byte[]> onPushPull(byte[] view) {
         return antiEntropy.onPushPull(view);
     }
-
-    /**
-     * Adopts an update from a peer if it overrides the known entry, and lets the guard handle one about this process.
-     */
-    private void applyUpdate(Member update) {
-        String name = update.identity().name();
-        if (name.equals(state.self().name())) {
-            incarnations.onUpdate(update);
-            return;
-        }
-        Member known = state.table().get(name);
-        if (known != null && isSameSuspicion(update, known)) {
-            if (suspicions.confirm(name, update.suspectedBy())) {
-                dissemination.broadcast(update);
-            }
-            return;
-        }
-        if (known != null && !update.overrides(known)) {
-            return;
-        }
-        if (!state.self().isCompatibleWith(update.identity())) {
-            state.counters().increment(Name.DROPPED_VERSION);
-        } else if (!state.table().hasCapacityFor(name)) {
-            state.counters().increment(Name.DROPPED_FULL);
-        } else if (known != null || update.isPresent()) {
-            // A failure or leave of a member that was never known here needs no entry.
-            adoptEntry(update);
-        }
-    }
-
-    private static boolean isSameSuspicion(Member update, Member known) {
-        return update.state() == MemberState.SUSPECT
-                && known.state() == MemberState.SUSPECT
-                && update.incarnation() == known.incarnation()
-                && update.identity().isSameProcess(known.identity());
-    }
-
-    /** Puts an entry into the table, broadcasts it, and starts and cancels timers as its state requires. */
-    private void adoptEntry(Member member) {
-        String name = member.identity().name();
-        Member before = state.table().get(name);
-        state.table().put(member, state.scheduler().nowUs());
-        dissemination.broadcast(member);
-        suspicions.cancel(name);
-        Scheduler.Timer reapTimer = reapTimers.remove(name);
-        if (reapTimer != null) {
-            reapTimer.cancel();
-        }
-        switch (member.state()) {
-            case SUSPECT -> suspicions.start(member);
-            case FAILED, LEFT -> scheduleReap(name);
-            default -> {
-                if (before == null || !before.isPresent()) {
-                    order.add(name);
-                }
-            }
-        }
-        onChange.accept(before, member);
-    }
-
-    private void scheduleReap(String name) {
-        long delayUs = state.settings().reapDelayUs();
-        reapTimers.put(name, state.scheduler().after(delayUs, () -> reap(name)));
-    }
-
-    /** Removes a member that failed or left long ago; until then its entry rejects outdated updates about it. */
-    private void reap(String name) {
-        Member gone = state.table().get(name);
-        reapTimers.remove(name);
-        if (!state.isStopped() && gone != null && !gone.isPresent()) {
-            state.table().remove(name);
-            onChange.accept(gone, null);
-        }
-    }
 }
--- a/cluster/src/main/java/tansypass/cluster/runtime/RandomStreams.java
+++ b/cluster/src/main/java/tansypass/cluster/runtime/RandomStreams.java
@@ -25,7 +25,7 @@
             byte[] digest = sha256.digest((seed + ":" + name).getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new AssertionError("every Java has SHA-256", e);
         }
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
@@ -4,15 +4,14 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BiConsumer;
 import tansypass.cluster.membership.Identity;
-import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.membership.MessageCodec;
@@ -34,7 +33,7 @@
     private final MessageCodec codec = new MessageCodec();
     private final InetSocketAddress listenAddress;
     private final SwimProtocol protocol;
-    private volatile MembershipView view;
+    private volatile Optional<MembershipView> view = Optional.empty();
     private volatile long publishedNs;
     private volatile Map<String, Long> counters = Map.of();
 
@@ -45,7 +44,7 @@
      *     something translates between the two
      * @param seeds addresses to join through
      * @param seed of its random numbers
-     * @param onChange called on the event loop with each change of the view, as {@link SwimProtocol} has it
+     * @param listener called on the event loop with each change of the view
      */
     public ClusterMember(
             MembershipSettings settings,
@@ -53,7 +52,7 @@
             InetSocketAddress listenAddress,
             List<InetSocketAddress> seeds,
             long seed,
-            BiConsumer<Member, Member> onChange) {
+            MemberListener listener) {
         this.listenAddress = listenAddress;
         protocol = new SwimProtocol(
                 settings,
@@ -62,15 +61,15 @@
                 new EventLoopScheduler(loop),
                 RandomStreams.of(seed, "membership"),
                 transport,
-                onChange);
+                listener);
     }
 
     /**
      * Opens the sockets and begins to join. Blocks until they are open.
      *
-     * @throws IOException if the address can't be bound; the text names it
+     * @throws ClusterBindException if the address can't be bound
      */
-    public void start() throws IOException {
+    public void start() throws ClusterBindException {
         transport.open(listenAddress, this);
         loop.execute(() -> {
             protocol.start();
@@ -81,14 +80,14 @@
 
     /** Makes the view and the counters readable from any thread. */
     private void publish() {
-        view = protocol.view();
+        view = Optional.of(protocol.view());
         publishedNs = System.nanoTime();
         counters = protocol.counters().all();
     }
 
     /** The age of {@link #view}, microseconds; Long.MAX_VALUE before the start. It grows if the loop is blocked. */
     public long viewAgeUs() {
-        return view == null ? Long.MAX_VALUE : (System.nanoTime() - publishedNs) / NANOS_PER_MICRO;
+        return view.isEmpty() ? Long.MAX_VALUE : (System.nanoTime() - publishedNs) / NANOS_PER_MICRO;
     }
 
     /** Announces whether this process serves clients or is draining. */
@@ -96,8 +95,8 @@
         loop.execute(() -> protocol.setServing(serving));
     }
 
-    /** The view, normally no older than 100 ms; null before the start. */
-    public MembershipView view() {
+    /** The view, normally no older than 100 ms; empty before the start. */
+    public Optional<MembershipView> view() {
         return view;
     }
 
@@ -134,7 +133,7 @@
     }
 
     @Override
-    public byte[] onPushPull(byte[] peerView) {
+    public Optional<byte[]> onPushPull(byte[] peerView) {
         return protocol.onPushPull(peerView);
     }
 
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterRequestHandler.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterRequestHandler.java
@@ -13,6 +13,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
+import java.util.Optional;
 
 /** Serves one HTTP request of a connection, a push-pull sync or the operators' page, and closes it. */
 final class ClusterRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -27,21 +28,20 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         if (request.decoderResult().isFailure()) {
-            respond(ctx, null, HttpResponseStatus.BAD_REQUEST);
+            respond(ctx, HttpResponseStatus.BAD_REQUEST, NO_BODY);
         } else if (request.method().equals(HttpMethod.POST) && request.uri().equals(ClusterTransport.PUSH_PULL_PATH)) {
-            byte[] view = handler.onPushPull(ByteBufUtil.getBytes(request.content()));
-            respond(ctx, view, HttpResponseStatus.FORBIDDEN);
+            Optional<byte[]> view = handler.onPushPull(ByteBufUtil.getBytes(request.content()));
+            HttpResponseStatus status = view.isPresent() ? HttpResponseStatus.OK : HttpResponseStatus.FORBIDDEN;
+            respond(ctx, status, view.orElse(NO_BODY));
         } else if (request.method().equals(HttpMethod.GET) && request.uri().equals(ClusterTransport.VIEW_PATH)) {
-            respond(ctx, handler.viewPage(), HttpResponseStatus.NOT_FOUND);
+            respond(ctx, HttpResponseStatus.OK, handler.viewPage());
         } else {
-            respond(ctx, null, HttpResponseStatus.NOT_FOUND);
+            respond(ctx, HttpResponseStatus.NOT_FOUND, NO_BODY);
         }
     }
 
-    /** Responds with a body, or with {@code otherwise} if it is null. */
-    private static void respond(ChannelHandlerContext ctx, byte[] body, HttpResponseStatus otherwise) {
-        HttpResponseStatus status = body == null ? otherwise : HttpResponseStatus.OK;
-        ByteBuf content = Unpooled.wrappedBuffer(body == null ? NO_BODY : body);
+    private static void respond(ChannelHandlerContext ctx, HttpResponseStatus status, byte[] body) {
+        ByteBuf content = Unpooled.wrappedBuffer(body);
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         response.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
@@ -18,9 +18,9 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.timeout.ReadTimeoutHandler;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -61,8 +61,8 @@
          */
         void onDatagram(InetSocketAddress from, byte[] datagram);
 
-        /** A peer pushed its view; returns this process's own, or null if the peer's is rejected. */
-        byte[] onPushPull(byte[] peerView);
+        /** A peer pushed its view; returns this process's own; empty if the peer's is rejected. */
+        Optional<byte[]> onPushPull(byte[] peerView);
 
         /** Returns the page for operators, as JSON. */
         byte[] viewPage();
@@ -76,22 +76,20 @@
     /**
      * Opens both sockets. Blocks until they are bound, so it must not be called on the event loop.
      *
-     * @throws IOException if one can't be bound; the text names the address
+     * @throws ClusterBindException if one can't be bound
      */
-    public void open(InetSocketAddress address, Handler handler) throws IOException {
+    public void open(InetSocketAddress address, Handler handler) throws ClusterBindException {
         // Push-pull syncs are sent from the same host as datagrams, so that peers can identify the sender by it.
         localAddress = new InetSocketAddress(address.getAddress(), 0);
         ChannelFuture datagramBind = bindDatagrams(address, handler).awaitUninterruptibly();
         if (!datagramBind.isSuccess()) {
-            throw new IOException("can't take datagrams at " + address + ": "
-                    + datagramBind.cause().getMessage());
+            throw new ClusterBindException("take datagrams", address, datagramBind.cause());
         }
         datagramChannel = datagramBind.channel();
         ChannelFuture serverBind = bindServer(address, handler).awaitUninterruptibly();
         if (!serverBind.isSuccess()) {
             datagramChannel.close();
-            throw new IOException(
-                    "can't listen at " + address + ": " + serverBind.cause().getMessage());
+            throw new ClusterBindException("listen", address, serverBind.cause());
         }
         serverChannel = serverBind.channel();
     }
@@ -155,11 +153,11 @@
         datagramChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
     }
 
-    /** The result is null also if too many syncs are in flight already. */
+    /** The result is empty also if too many syncs are in flight already. */
     @Override
-    public void pushPull(InetSocketAddress to, byte[] view, Consumer<byte[]> onResult) {
+    public void pushPull(InetSocketAddress to, byte[] view, Consumer<Optional<byte[]>> onResult) {
         if (outboundCalls >= MAX_OUTBOUND_CALLS) {
-            loop.execute(() -> onResult.accept(null));
+            loop.execute(() -> onResult.accept(Optional.empty()));
             return;
         }
         outboundCalls++;
@@ -186,7 +184,7 @@
                 .connect(to, localAddress)
                 .addListener(connected -> {
                     if (!connected.isSuccess()) {
-                        call.complete(null);
+                        call.complete(Optional.empty());
                     }
                 });
     }
--- a/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
@@ -12,17 +12,19 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** One push-pull sync that this process started, on a connection of its own; completes once, with a view or null. */
+/** One push-pull sync that this process started, on a connection of its own; completes once, with the peer's view if it sent one. */
 final class PushPullCall extends SimpleChannelInboundHandler<FullHttpResponse> {
     /** The peer is known by its address alone, but HTTP/1.1 requires a host. */
     private static final String HOST = "fleet";
 
     private final byte[] view;
-    private Consumer<byte[]> onResult;
+    private final Consumer<Optional<byte[]>> onResult;
+    private boolean isCompleted;
 
-    PushPullCall(byte[] view, Consumer<byte[]> onResult) {
+    PushPullCall(byte[] view, Consumer<Optional<byte[]>> onResult) {
         this.view = view;
         this.onResult = onResult;
     }
@@ -42,22 +44,21 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
         boolean isAccepted = response.status().equals(HttpResponseStatus.OK);
-        complete(isAccepted ? ByteBufUtil.getBytes(response.content()) : null);
+        complete(isAccepted ? Optional.of(ByteBufUtil.getBytes(response.content())) : Optional.empty());
         ctx.close();
     }
 
     /** Reports the result; does nothing if one was reported before. */
-    void complete(byte[] peerView) {
-        Consumer<byte[]> receiver = onResult;
-        onResult = null;
-        if (receiver != null) {
-            receiver.accept(peerView);
+    void complete(Optional<byte[]> peerView) {
+        if (!isCompleted) {
+            isCompleted = true;
+            onResult.accept(peerView);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        complete(null);
+        complete(Optional.empty());
     }
 
     @Override
--- a/cluster/src/test/java/tansypass/cluster/transport/ClusterTransportTest.java
+++ b/cluster/src/test/java/tansypass/cluster/transport/ClusterTransportTest.java
@@ -24,7 +24,8 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (user) {
             ClusterTransport transport = new ClusterTransport(group.next());
-            IOException failure = assertThrows(IOException.class, () -> transport.open(address, null));
+            ClusterBindException failure =
+                    assertThrows(ClusterBindException.class, () -> transport.open(address, null));
             assertTrue(failure.getMessage().contains(address.toString()), failure.getMessage());
             assertDoesNotThrow(transport::close);
         } finally {
--- a/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
@@ -4,12 +4,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.function.BiConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.MalformedMessageException;
 import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.MemberState;
 import tansypass.cluster.membership.Membership;
 import tansypass.cluster.membership.MembershipCounters;
@@ -37,7 +38,7 @@
     private final Scheduler scheduler;
     private final UniformRandomProvider random;
     private final Network network;
-    private final BiConsumer<Member, Member> onChange;
+    private final MemberListener listener;
     private final MessageCodec codec = new MessageCodec();
     private final MembershipCounters counters = new MembershipCounters();
     private final Map<String, Member> members = new TreeMap<>();
@@ -45,7 +46,7 @@
     private long version;
     private boolean isStopped;
 
-    /** Creates a member that has not started; {@code onChange} receives changed entries, before and after. */
+    /** Creates a member that has not started; {@code listener} receives changed entries. */
     public HeartbeatProtocol(
             MembershipSettings settings,
             Identity self,
@@ -53,14 +54,14 @@
             Scheduler scheduler,
             UniformRandomProvider random,
             Network network,
-            BiConsumer<Member, Member> onChange) {
+            MemberListener listener) {
         this.settings = settings;
         this.self = self;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
         this.scheduler = scheduler;
         this.random = random;
         this.network = network;
-        this.onChange = onChange;
+        this.listener = listener;
         members.put(self.name(), new Member(self, MemberState.ALIVE, 0, ""));
     }
 
@@ -87,11 +88,7 @@
     }
 
     private void pushPull(InetSocketAddress peer) {
-        network.pushPull(peer, encodeView(), response -> {
-            if (response != null) {
-                onPushPull(response);
-            }
-        });
+        network.pushPull(peer, encodeView(), response -> response.ifPresent(this::onPushPull));
     }
 
     private void runPeriod() {
@@ -125,9 +122,10 @@
     }
 
     private void put(Member member) {
-        Member before = members.put(member.identity().name(), member);
+        Optional<Member> before =
+                Optional.ofNullable(members.put(member.identity().name(), member));
         version++;
-        onChange.accept(before, member);
+        listener.onUpdate(before, member);
     }
 
     @Override
@@ -197,19 +195,19 @@
     }
 
     @Override
-    public byte[] onPushPull(byte[] body) {
+    public Optional<byte[]> onPushPull(byte[] body) {
         Envelope envelope;
         try {
             envelope = codec.decodeView(body, settings.maxMembers());
         } catch (MalformedMessageException e) {
             counters.increment(Name.DROPPED_MALFORMED);
-            return null;
+            return Optional.empty();
         }
         if (isStopped) {
-            return null;
+            return Optional.empty();
         }
         envelope.updates().forEach(this::merge);
-        return encodeView();
+        return Optional.of(encodeView());
     }
 
     /** Adds a member that is unknown here, or replaces its earlier process. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/ConvergenceTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ConvergenceTrial.java
@@ -37,7 +37,7 @@
     private ConvergenceTrial(MembershipFactory factory, int memberCount, long seed) {
         this.memberCount = memberCount;
         cluster = newCluster(factory, memberCount, seed);
-        cluster.setViewListener((viewer, before, after) -> onViewChange(after));
+        cluster.setViewListener((viewer, entry) -> onViewUpdate(entry));
     }
 
     /** Creates a cluster with the default settings, whose members are not started. */
@@ -61,8 +61,8 @@
         return trial.figures;
     }
 
-    private void onViewChange(Member after) {
-        if (firstDetectionUs == NOT_DETECTED && after != null && after.state() == MemberState.FAILED) {
+    private void onViewUpdate(Member entry) {
+        if (firstDetectionUs == NOT_DETECTED && entry.state() == MemberState.FAILED) {
             firstDetectionUs = cluster.nowUs();
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
@@ -31,9 +31,9 @@
         this.withPauses = withPauses;
         random = RandomStreams.of(seed, "troubles");
         cluster = ConvergenceTrial.newCluster(factory, memberCount, seed);
-        cluster.setViewListener((viewer, before, after) -> {
-            if (after != null && after.state() == MemberState.FAILED) {
-                count(after.identity().name());
+        cluster.setViewListener((viewer, entry) -> {
+            if (entry.state() == MemberState.FAILED) {
+                count(entry.identity().name());
             }
         });
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/MembershipFactory.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/MembershipFactory.java
@@ -2,10 +2,9 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.function.BiConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.Identity;
-import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.Membership;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.Network;
@@ -21,7 +20,7 @@
      * Creates a protocol instance that has not started.
      *
      * @param seeds addresses of members to join through
-     * @param onChange receives each changed entry of the view, before and after; null where there is none
+     * @param listener receives each change of the view
      */
     Membership create(
             MembershipSettings settings,
@@ -30,5 +29,5 @@
             Scheduler scheduler,
             UniformRandomProvider random,
             Network network,
-            BiConsumer<Member, Member> onChange);
+            MemberListener listener);
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -3,10 +3,11 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.Membership;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MembershipView;
@@ -37,7 +38,7 @@
     private final SimulatedClusterNetwork network;
     private final List<SimulatedMember> members = new ArrayList<>();
     private final TraceDigest trace = new TraceDigest();
-    private ViewListener viewListener = (viewer, before, after) -> {};
+    private ViewListener viewListener = (viewer, entry) -> {};
 
     /** Creates a cluster of SWIM members with a virtual time of its own; no member is started yet. */
     public SimulatedCluster(long seed, MembershipSettings settings, int count, List<String> zones) {
@@ -93,17 +94,37 @@
                 MessageCodec.VERSION);
         List<InetSocketAddress> seedAddresses =
                 seeds.stream().map(s -> members.get(s).address()).toList();
-        BiConsumer<Member, Member> onChange = (before, after) -> viewChanged(number, before, after);
+        MemberListener listener = new TracingListener(number);
         member.setMembership(factory.create(
-                settings, identity, seedAddresses, member.process(), random, network.endpointOf(member), onChange));
+                settings, identity, seedAddresses, member.process(), random, network.endpointOf(member), listener));
         member.membership().start();
     }
 
-    private void viewChanged(int viewer, Member before, Member after) {
-        trace.addLong(queue.nowUs());
-        trace.addInt(viewer);
-        trace.addText(after == null ? "forgotten" : after.identity().name() + after.state() + after.incarnation());
-        viewListener.onViewChange(viewer, before, after);
+    /** Adds each change of one member's view to the trace, and forwards it. */
+    private final class TracingListener implements MemberListener {
+        private final int viewer;
+
+        TracingListener(int viewer) {
+            this.viewer = viewer;
+        }
+
+        @Override
+        public void onUpdate(Optional<Member> before, Member after) {
+            traceChange(after.identity().name() + after.state() + after.incarnation());
+            viewListener.onUpdate(viewer, after);
+        }
+
+        @Override
+        public void onReap(Member reaped) {
+            traceChange("forgotten");
+            viewListener.onReap(viewer, reaped);
+        }
+
+        private void traceChange(String change) {
+            trace.addLong(queue.nowUs());
+            trace.addInt(viewer);
+            trace.addText(change);
+        }
     }
 
     /** Starts all members at once; they join through member 0. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.Membership;
@@ -123,10 +124,10 @@
         }
 
         @Override
-        public void pushPull(InetSocketAddress to, byte[] body, Consumer<byte[]> callback) {
+        public void pushPull(InetSocketAddress to, byte[] body, Consumer<Optional<byte[]>> callback) {
             pushPullBytesSent += body.length;
             PushPullCallback response = new PushPullCallback(local.process(), callback);
-            queue.after(PUSH_PULL_TIMEOUT_US, () -> response.complete(null));
+            queue.after(PUSH_PULL_TIMEOUT_US, () -> response.complete(Optional.empty()));
             SimulatedMember peer = membersByAddress.get(to);
             if (peer == null || peer.process() == null || isConnectionBlocked(local, peer)) {
                 return;
@@ -139,8 +140,8 @@
         }
 
         private void respond(SimulatedMember peer, Membership membership, byte[] body, PushPullCallback response) {
-            byte[] result = membership.onPushPull(body);
-            pushPullBytesSent += result == null ? 0 : result.length;
+            Optional<byte[]> result = membership.onPushPull(body);
+            pushPullBytesSent += result.map(view -> view.length).orElse(0);
             queue.after(drawTransitUs() + connectionDelayUs(peer, local, body.length), () -> response.complete(result));
         }
     }
@@ -148,15 +149,15 @@
     /** Delivers the first result of a push-pull sync, response or timeout, to the process that started it. */
     private static final class PushPullCallback {
         private final SimulatedProcess caller;
-        private final Consumer<byte[]> callback;
+        private final Consumer<Optional<byte[]>> callback;
         private boolean isCompleted;
 
-        PushPullCallback(SimulatedProcess caller, Consumer<byte[]> callback) {
+        PushPullCallback(SimulatedProcess caller, Consumer<Optional<byte[]>> callback) {
             this.caller = caller;
             this.callback = callback;
         }
 
-        void complete(byte[] result) {
+        void complete(Optional<byte[]> result) {
             caller.deliver(() -> {
                 if (!isCompleted) {
                     isCompleted = true;
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -34,14 +34,18 @@
                 scenario.nodes().zones(),
                 context.queue,
                 MembershipFactory.SWIM);
-        cluster.setViewListener((viewer, before, after) -> viewChanged(viewer, after));
-    }
+        cluster.setViewListener(new ViewListener() {
+            @Override
+            public void onUpdate(int viewer, Member entry) {
+                context.nodes.get(viewer).membershipChanged();
+                checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), line(entry));
+            }
 
-    private void viewChanged(int viewer, Member after) {
-        context.nodes.get(viewer).membershipChanged();
-        if (after != null) {
-            checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), line(after));
-        }
+            @Override
+            public void onReap(int viewer, Member reaped) {
+                context.nodes.get(viewer).membershipChanged();
+            }
+        });
     }
 
     private String incarnationOf(int number) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/ViewListener.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ViewListener.java
@@ -5,11 +5,17 @@
 /** Receives the changes of all membership views of a {@link SimulatedCluster}, on the event queue's thread. */
 public interface ViewListener {
     /**
-     * A view has changed.
+     * An entry of a view was added or replaced.
      *
      * @param viewer the number of the member whose view it is
-     * @param before the entry before, or null if it is new
-     * @param after the entry now, or null if it was removed
+     * @param entry the entry as it is now
      */
-    void onViewChange(int viewer, Member before, Member after);
+    void onUpdate(int viewer, Member entry);
+
+    /**
+     * An entry was removed from a view; ignored by default.
+     *
+     * @param viewer the number of the member whose view it is
+     */
+    default void onReap(int viewer, Member reaped) {}
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipTest.java
@@ -47,36 +47,45 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, SETTINGS, count, List.of("a", "b", "c"));
         Map<String, Member> last = new HashMap<>();
         Set<Long> startedNonces = new HashSet<>();
-        cluster.setViewListener((who, before, after) -> {
-            // A view starts empty with each process.
-            String view = who + " " + cluster.swimProtocol(who).self().nonce() + ">";
-            if (after == null) {
-                last.remove(view + before.identity().name());
-                return;
+        cluster.setViewListener(new ViewListener() {
+            /** A view starts empty with each process. */
+            private String keyOf(int who, Member entry) {
+                return who + " " + cluster.swimProtocol(who).self().nonce() + ">"
+                        + entry.identity().name();
             }
-            Member known = last.put(view + after.identity().name(), after);
-            if (after.identity().nonce() == cluster.swimProtocol(who).self().nonce()) {
-                startedNonces.add(after.identity().nonce());
-            }
-            if (!startedNonces.contains(after.identity().nonce())) {
-                anomalies.add("invented: " + after);
-            }
-            if (known == null) {
-                return;
-            }
-            if (after.identity().generation() < known.identity().generation()) {
-                anomalies.add("earlier generation: " + known + " to " + after);
-            }
-            boolean same = after.identity().generation() == known.identity().generation()
-                    && after.identity().nonce() == known.identity().nonce();
-            if (same && after.incarnation() < known.incarnation()) {
-                anomalies.add("lower incarnation: " + known + " to " + after);
+
+            @Override
+            public void onReap(int who, Member reaped) {
+                last.remove(keyOf(who, reaped));
             }
-            if (same
-                    && after.isPresent()
-                    && (known.state() == MemberState.LEFT
-                            || (known.state() == MemberState.FAILED && after.incarnation() <= known.incarnation()))) {
-                anomalies.add("returned by an outdated update: " + known + " to " + after);
+
+            @Override
+            public void onUpdate(int who, Member after) {
+                Member known = last.put(keyOf(who, after), after);
+                if (after.identity().nonce() == cluster.swimProtocol(who).self().nonce()) {
+                    startedNonces.add(after.identity().nonce());
+                }
+                if (!startedNonces.contains(after.identity().nonce())) {
+                    anomalies.add("invented: " + after);
+                }
+                if (known == null) {
+                    return;
+                }
+                if (after.identity().generation() < known.identity().generation()) {
+                    anomalies.add("earlier generation: " + known + " to " + after);
+                }
+                boolean same = after.identity().generation() == known.identity().generation()
+                        && after.identity().nonce() == known.identity().nonce();
+                if (same && after.incarnation() < known.incarnation()) {
+                    anomalies.add("lower incarnation: " + known + " to " + after);
+                }
+                if (same
+                        && after.isPresent()
+                        && (known.state() == MemberState.LEFT
+                                || (known.state() == MemberState.FAILED
+                                        && after.incarnation() <= known.incarnation()))) {
+                    anomalies.add("returned by an outdated update: " + known + " to " + after);
+                }
             }
         });
         return cluster;
--- a/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
@@ -9,14 +9,15 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.junit.jupiter.api.Test;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.MemberState;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.Message;
@@ -145,7 +146,7 @@
 
     /** All that an entry says, as it goes over the wire; a record's own text would change with a renamed component. */
     private static String text(Member entry) {
-        return entry == null ? "nobody" : HexFormat.of().formatHex(gossip(1, entry));
+        return HexFormat.of().formatHex(gossip(1, entry));
     }
 
     private void note(String event) {
@@ -160,7 +161,7 @@
             Scheduler scheduler,
             UniformRandomProvider random,
             Network network,
-            BiConsumer<Member, Member> onChange) {
+            MemberListener listener) {
         String who = self.name() + "/" + self.nonce();
         return new SwimProtocol(
                 settings,
@@ -169,10 +170,29 @@
                 new TracedScheduler(who, scheduler),
                 random,
                 new TracedNetwork(who, network),
-                (before, after) -> {
-                    note(who + " sees " + text(before) + " become " + text(after));
-                    onChange.accept(before, after);
-                });
+                new TracedListener(who, listener));
+    }
+
+    private final class TracedListener implements MemberListener {
+        private final String who;
+        private final MemberListener listener;
+
+        TracedListener(String who, MemberListener listener) {
+            this.who = who;
+            this.listener = listener;
+        }
+
+        @Override
+        public void onUpdate(Optional<Member> before, Member after) {
+            note(who + " sees " + before.map(SwimTraceTest::text).orElse("nobody") + " become " + text(after));
+            listener.onUpdate(before, after);
+        }
+
+        @Override
+        public void onReap(Member reaped) {
+            note(who + " sees " + text(reaped) + " become nobody");
+            listener.onReap(reaped);
+        }
     }
 
     private final class TracedScheduler implements Scheduler {
@@ -221,10 +241,12 @@
         }
 
         @Override
-        public void pushPull(InetSocketAddress to, byte[] body, Consumer<byte[]> answer) {
+        public void pushPull(InetSocketAddress to, byte[] body, Consumer<Optional<byte[]>> answer) {
             note(who + " pushes " + to + " " + new String(body, StandardCharsets.UTF_8));
             network.pushPull(to, body, pulled -> {
-                note(who + " pulls " + (pulled == null ? null : new String(pulled, StandardCharsets.UTF_8)));
+                note(who + " pulls "
+                        + pulled.map(view -> new String(view, StandardCharsets.UTF_8))
+                                .orElse("null"));
                 answer.accept(pulled);
             });
         }
