--- a/cli/src/main/java/tansypass/cli/ClusterCommand.java
+++ b/cli/src/main/java/tansypass/cli/ClusterCommand.java
@@ -64,8 +64,8 @@
         for (int size : sizes) {
             for (String kind : baseline ? kinds : kinds.subList(0, 1)) {
                 if (hour) {
-                    metrics.hour(kind, size, loss, false, seeds, threads);
-                    metrics.hour(kind, size, loss, true, seeds, threads);
+                    metrics.measureFalsePositives(kind, size, loss, false, seeds, threads);
+                    metrics.measureFalsePositives(kind, size, loss, true, seeds, threads);
                 } else {
                     metrics.measure(kind, size, loss, seeds, threads);
                 }
--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -79,8 +79,7 @@
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = ScenarioFile.read(file);
         long startNs = System.nanoTime();
-        ScheduleExplorer.Result result = new ScheduleExplorer(
-                        scenario, SimulationRun::play, newProgressPrinter(startNs))
+        ScheduleExplorer.Result result = new ScheduleExplorer(scenario, SimulationRun::run, newProgressPrinter(startNs))
                 .explore(
                         seed,
                         budgetMs,
--- a/cli/src/main/java/tansypass/cli/MembersCommand.java
+++ b/cli/src/main/java/tansypass/cli/MembersCommand.java
@@ -31,19 +31,19 @@
     @Override
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        ViewPage view = ViewPage.fetch(address);
+        MembershipSnapshot view = MembershipSnapshot.fetch(address);
         printView(view, out);
         int code = all ? compareAllViews(view, out) : Exit.OK;
         out.flush();
         return code;
     }
 
-    private static void printView(ViewPage view, PrintWriter out) {
+    private static void printView(MembershipSnapshot view, PrintWriter out) {
         out.printf(
                 "%s of %s, %s, view %s version %s%n",
                 view.viewer(), view.deployment(), view.standing(), view.digest(), view.version());
         out.printf(ROW, "member", "state", "zone", "role", "generation", "inc", "for, s", "address");
-        for (ViewPage.Entry entry : view.entries()) {
+        for (MembershipSnapshot.Entry entry : view.entries()) {
             out.printf(
                     ROW,
                     entry.name(),
@@ -62,7 +62,7 @@
     }
 
     /** Fetches the views of all present members, and prints about whom they differ and who did not respond. */
-    private static int compareAllViews(ViewPage first, PrintWriter out) {
+    private static int compareAllViews(MembershipSnapshot first, PrintWriter out) {
         ViewComparison comparison = fetchAllViews(first);
         List<ViewComparison.Disagreement> disagreements = comparison.disagreements();
         for (ViewComparison.Disagreement disagreement : disagreements) {
@@ -77,14 +77,15 @@
         return disagreements.isEmpty() && unreachable.isEmpty() ? Exit.OK : Exit.NEGATIVE;
     }
 
-    private static ViewComparison fetchAllViews(ViewPage first) {
+    private static ViewComparison fetchAllViews(MembershipSnapshot first) {
         ViewComparison comparison = new ViewComparison();
-        for (ViewPage.Entry entry : first.entries()) {
+        for (MembershipSnapshot.Entry entry : first.entries()) {
             if (!entry.isPresent()) {
                 continue;
             }
             try {
-                comparison.add(entry.name(), ViewPage.fetch(entry.address()).entries());
+                comparison.add(
+                        entry.name(), MembershipSnapshot.fetch(entry.address()).entries());
             } catch (IOException e) {
                 comparison.addUnreachable(entry.name());
             }
--- a/cli/src/main/java/tansypass/cli/ViewPage.java
+++ b/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
@@ -14,13 +14,13 @@
  * A member's view of the cluster, fetched from its cluster address. A peer may send anything: a missing value reads as
  * "?", and control characters are replaced.
  */
-final class ViewPage {
+final class MembershipSnapshot {
     private static final String MISSING = "?";
     private static final Set<String> PRESENT_STATES = Set.of("alive", "suspect");
 
     private final JsonObject json;
 
-    private ViewPage(JsonObject json) {
+    private MembershipSnapshot(JsonObject json) {
         this.json = json;
     }
 
@@ -29,11 +29,11 @@
      *
      * @throws IOException if the member does not respond, or not with a JSON object
      */
-    static ViewPage fetch(String address) throws IOException {
+    static MembershipSnapshot fetch(String address) throws IOException {
         try {
             String body =
                     AdminCall.send(address, "GET", ClusterTransport.VIEW_PATH).body();
-            return new ViewPage(JsonParser.parseString(body).getAsJsonObject());
+            return new MembershipSnapshot(JsonParser.parseString(body).getAsJsonObject());
         } catch (JsonParseException | IllegalStateException e) {
             throw new IOException(address + " is no member of a fleet", e);
         }
--- a/cli/src/main/java/tansypass/cli/ScenarioRunner.java
+++ b/cli/src/main/java/tansypass/cli/ScenarioRunner.java
@@ -30,7 +30,7 @@
                 isTemporary ? Files.createTempDirectory("tansypass-testbed") : Files.createDirectories(keepDirectory);
         InvariantChecker checker = null;
         try {
-            checker = ProcessRun.play(scenario, seed, ProgramCommand.of("node", "--with-parent"), directory, progress);
+            checker = ProcessRun.run(scenario, seed, ProgramCommand.of("node", "--with-parent"), directory, progress);
             return checker;
         } finally {
             if (isTemporary && checker != null && checker.violationCount() == 0) {
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -74,7 +74,7 @@
             String command = "./tansypass testbed run " + file + " --seed " + seed + (virtual ? " --virtual" : "");
             long startNs = System.nanoTime();
             InvariantChecker checker = virtual
-                    ? SimulationRun.play(scenario, seed)
+                    ? SimulationRun.run(scenario, seed)
                     : ScenarioRunner.runOnProcesses(scenario, seed, keep, Progress.NONE, out);
             Report report = Report.of(scenario, seed, command, checker);
             out.print(report.text());
--- a/cli/src/main/java/tansypass/cli/ViewComparison.java
+++ b/cli/src/main/java/tansypass/cli/ViewComparison.java
@@ -28,9 +28,9 @@
     record Disagreement(String member, long unchangedMs, Map<String, List<String>> viewersByState) {}
 
     /** Adds a view. */
-    void add(String viewer, List<ViewPage.Entry> entries) {
+    void add(String viewer, List<MembershipSnapshot.Entry> entries) {
         Map<String, String> states = new LinkedHashMap<>();
-        for (ViewPage.Entry entry : entries) {
+        for (MembershipSnapshot.Entry entry : entries) {
             states.put(entry.name(), entry.state() + " " + entry.generation());
             unchangedMs.merge(entry.name(), entry.unchangedMs(), Math::min);
         }
--- a/cli/src/test/java/tansypass/cli/ProcessRunTest.java
+++ b/cli/src/test/java/tansypass/cli/ProcessRunTest.java
@@ -68,7 +68,7 @@
     void violatesNoInvariantWhenProcessesAreKilledAndLinkIsCut() throws Exception {
         Scenario scenario = ScenarioFile.read(file(SCENARIO + FAULTS).toString());
         InvariantChecker checker =
-                ProcessRun.play(scenario, 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
+                ProcessRun.run(scenario, 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
         assertEquals(List.of(), checker.violations());
         assertTrue(
                 checker.statistics().count(End.SERVED) > checker.statistics().offered() / 2,
@@ -81,7 +81,7 @@
         Scenario scenario = ScenarioFile.read(file(SCENARIO).toString());
         IOException rejection = assertThrows(
                 IOException.class,
-                () -> ProcessRun.play(
+                () -> ProcessRun.run(
                         scenario,
                         7,
                         ProgramCommand.of("node", "--with-parent", "--no-such-option"),
@@ -96,7 +96,7 @@
                 file(SCENARIO.replace("count = 3", "count = 2000")).toString());
         IllegalArgumentException rejection = assertThrows(
                 IllegalArgumentException.class,
-                () -> ProcessRun.play(scenario, 7, List.of("nothing"), folder, Progress.NONE));
+                () -> ProcessRun.run(scenario, 7, List.of("nothing"), folder, Progress.NONE));
         assertTrue(rejection.getMessage().matches("2000 nodes wanted, [0-9]+ fit: .*"), rejection.getMessage());
     }
 
--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -44,7 +44,7 @@
     @CsvSource({"calm,0.95", "rolling,0.98", "links,0.8", "members,0.75"})
     void violatesNoInvariantOnRealProcesses(String name, double minServedShare) throws Exception {
         InvariantChecker checker =
-                ProcessRun.play(scenario(name), 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
+                ProcessRun.run(scenario(name), 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
         assertEquals(List.of(), checker.violations());
         assertTrue(servedShare(checker) >= minServedShare, () -> "served " + servedShare(checker));
     }
@@ -52,7 +52,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"calm", "rolling", "links", "servers", "members"})
     void violatesNoInvariantUnderRandomFaults(String name) throws Exception {
-        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(scenario(name), SimulationRun::play)
+        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
                 .explore(1, BUDGET_MS, MAX_SCHEDULES, Runtime.getRuntime().availableProcessors())
                 .found();
         assertEquals(Optional.empty(), found);
--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -8,7 +8,9 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import tansypass.cluster.runtime.Scheduler;
@@ -43,16 +45,13 @@
     private boolean hanging;
     private boolean draining;
 
-    /** Receives the response to a request. */
-    public interface ResponseHandler {
-        /**
-         * The response is complete.
-         *
-         * @param report the load report, or null
-         * @param isRejected whether the request is known not to have been executed
-         */
-        void onResponse(int status, String body, String report, boolean isRejected);
-    }
+    /**
+     * A complete response.
+     *
+     * @param loadReport empty if the server sends none
+     * @param isRejected whether the request is known not to have been executed
+     */
+    public record Response(int status, String body, Optional<String> loadReport, boolean isRejected) {}
 
     /** The response to a keyed request, for its repeats. */
     private record CachedResponse(String body, long untilUs) {}
@@ -60,15 +59,17 @@
     /** A request that is queued or executing. */
     public final class Execution {
         private final RequestClass requestClass;
-        private final String key;
+        /** Empty unless the class of the request is keyed. */
+        private final Optional<String> key;
+
         private final long workUs;
-        private final ResponseHandler handler;
+        private final Consumer<Response> handler;
         private Scheduler.Timer timer;
         private boolean isOver;
 
-        private Execution(RequestClass requestClass, String key, long workUs, ResponseHandler handler) {
+        private Execution(RequestClass requestClass, Optional<String> key, long workUs, Consumer<Response> handler) {
             this.requestClass = requestClass;
-            this.key = key;
+            this.key = key.filter(any -> requestClass.repeat() == Idempotency.KEYED);
             this.workUs = workUs;
             this.handler = handler;
         }
@@ -120,17 +121,17 @@
     /**
      * Queues or rejects a complete request.
      *
-     * @param key the idempotency key, or null
+     * @param key the idempotency key, which counts only if the class of the request has keyed requests
      * @param isFirstOnConnection whether it is the first on its connection, which costs the handshake
      */
     public Execution serve(
-            RequestClass requestClass, String key, boolean isFirstOnConnection, ResponseHandler handler) {
+            RequestClass requestClass, Optional<String> key, boolean isFirstOnConnection, Consumer<Response> handler) {
         long workUs = Math.round(workFactor.sample() * requestClass.workUs())
                 + (isFirstOnConnection ? spec.handshakeUs() : 0);
         Execution execution = new Execution(requestClass, key, workUs, handler);
         if (draining || (running.size() >= spec.cores() && queue.size() >= spec.queue())) {
             execution.isOver = true;
-            sendOrDefer(() -> handler.onResponse(REJECTED, "", report(), true));
+            sendOrDefer(() -> handler.accept(new Response(REJECTED, "", report(), true)));
         } else {
             queue.add(execution);
             startQueued();
@@ -173,21 +174,24 @@
 
     private void respond(Execution execution) {
         if (random.nextDouble() < errorRate) {
-            execution.handler.onResponse(ERROR, "error", report(), false);
+            execution.handler.accept(new Response(ERROR, "error", report(), false));
             return;
         }
-        String body = null;
-        if (execution.requestClass.repeat() == Idempotency.KEYED && execution.key != null) {
-            CachedResponse cached = cachedResponses.get(execution.key);
-            body = cached != null && cached.untilUs >= scheduler.nowUs() ? cached.body : null;
-        }
-        if (body == null) {
-            body = name + " " + HexFormat.of().toHexDigits(random.nextLong());
-            if (execution.requestClass.repeat() == Idempotency.KEYED && execution.key != null) {
-                cache(execution.key, new CachedResponse(body, scheduler.nowUs() + execution.requestClass.windowUs()));
-            }
-        }
-        execution.handler.onResponse(OK, body, report(), false);
+        String body = execution.key.flatMap(this::findCachedBody).orElseGet(() -> produceBody(execution));
+        execution.handler.accept(new Response(OK, body, report(), false));
+    }
+
+    private Optional<String> findCachedBody(String key) {
+        return Optional.ofNullable(cachedResponses.get(key))
+                .filter(cached -> cached.untilUs >= scheduler.nowUs())
+                .map(CachedResponse::body);
+    }
+
+    private String produceBody(Execution execution) {
+        String body = name + " " + HexFormat.of().toHexDigits(random.nextLong());
+        long untilUs = scheduler.nowUs() + execution.requestClass.windowUs();
+        execution.key.ifPresent(key -> cache(key, new CachedResponse(body, untilUs)));
+        return body;
     }
 
     private void cache(String key, CachedResponse response) {
@@ -195,12 +199,13 @@
         scheduler.after(response.untilUs - scheduler.nowUs(), () -> cachedResponses.remove(key, response));
     }
 
-    private String report() {
-        return !spec.reports()
-                ? null
-                : "inflight=" + (running.size() + queue.size()) + ",queue="
-                        + queue.size()
-                        + ",util=" + (double) running.size() / spec.cores();
+    private Optional<String> report() {
+        if (!spec.reports()) {
+            return Optional.empty();
+        }
+        int inFlight = running.size() + queue.size();
+        double utilization = (double) running.size() / spec.cores();
+        return Optional.of("inflight=" + inFlight + ",queue=" + queue.size() + ",util=" + utilization);
     }
 
     /** A server that hangs sends nothing. */
--- a/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
+++ b/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
@@ -169,12 +169,17 @@
                 registry.removeWatcher(this);
             });
             if (!registry.isSilent()) {
-                accept(null);
+                writeChanges();
             }
         }
 
+        /** Writes what this watch has not had yet, which may be more than was just published. */
         @Override
-        public void accept(WatchEvent ignored) {
+        public void accept(WatchEvent published) {
+            writeChanges();
+        }
+
+        private void writeChanges() {
             if (!hasStarted) {
                 hasStarted = true;
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -59,7 +59,7 @@
      * @throws IllegalArgumentException if the machine has too few resources; nothing was started then
      * @throws IOException if an address is taken or a node does not get ready
      */
-    public static InvariantChecker play(
+    public static InvariantChecker run(
             Scenario scenario, long seed, List<String> command, Path folder, Progress progress)
             throws IOException, InterruptedException {
         Capacity.require(scenario);
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -82,7 +82,7 @@
             WebServer model =
                     new WebServer(name, scenario.servers(), context.scheduler, RandomStreams.of(context.seed, name));
             StubWebServer server =
-                    new StubWebServer(context.loop, model, number, context.checker, context.clock, classes::get);
+                    new StubWebServer(context.loop, model, number, context.checker, context.clock, classes);
             server.start(hosts.server(number));
             context.servers.add(server);
             context.registry.put(name, number, State.READY, 0);
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
@@ -11,9 +11,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.LongFunction;
+import java.util.function.ToLongFunction;
 import java.util.stream.LongStream;
 import org.apache.commons.math3.stat.StatUtils;
 import tansypass.testbed.baseline.HeartbeatProtocol;
+import tansypass.testbed.simulation.FalsePositiveTrial.Result;
 
 /**
  * Measures speed, cost and false positives of membership in virtual time, by protocol and cluster size: median
@@ -25,6 +27,8 @@
 
     private static final Gson JSON = new GsonBuilder().setPrettyPrinting().create();
     private static final int MEDIAN = 50;
+    /** The name of a figure in reports, which scripts read. */
+    private static final String FALSE_POSITIVES = "wrongly failed in an hour";
 
     private final List<Row> rows = new ArrayList<>();
 
@@ -57,40 +61,35 @@
         List<Map<MembershipFigure, Double>> trials =
                 runSeeds(seeds, threads, seed -> ConvergenceTrial.run(FACTORIES.get(kind), count, loss, seed));
         for (MembershipFigure figure : MembershipFigure.values()) {
-            addRow(
-                    kind,
-                    count,
-                    loss,
-                    figure.reportName(),
-                    trials.stream().map(trial -> trial.get(figure)).toList());
+            List<Double> values =
+                    trials.stream().map(trial -> trial.get(figure)).toList();
+            addRow(kind, count, loss, figure.reportName(), values);
         }
     }
 
     /**
      * Adds the false positives in an hour of one protocol and cluster size, over the seeds from 1 on.
      *
-     * @param troubled whether a tenth of the members is paused repeatedly
+     * @param withPauses whether a tenth of the members is paused for 1 to 3 s repeatedly
      */
-    public void hour(String kind, int count, double loss, boolean troubled, int seeds, int threads)
+    public void measureFalsePositives(String kind, int count, double loss, boolean withPauses, int seeds, int threads)
             throws InterruptedException {
-        List<FalsePositiveTrial.Result> trials = runSeeds(
-                seeds, threads, seed -> FalsePositiveTrial.run(FACTORIES.get(kind), count, loss, troubled, seed));
-        if (troubled) {
+        List<Result> trials = runSeeds(
+                seeds, threads, seed -> FalsePositiveTrial.run(FACTORIES.get(kind), count, loss, withPauses, seed));
+        if (withPauses) {
             addRow(
                     kind,
                     count,
                     loss,
-                    "wrongly failed in an hour, of those that stand still",
-                    trials.stream()
-                            .map(trial -> (double) trial.ofPausedMembers())
-                            .toList());
+                    FALSE_POSITIVES + ", of those that stand still",
+                    figuresOf(trials, Result::ofPausedMembers));
         }
-        addRow(
-                kind,
-                count,
-                loss,
-                "wrongly failed in an hour" + (troubled ? ", of the others" : ""),
-                trials.stream().map(trial -> (double) trial.ofOtherMembers()).toList());
+        String others = withPauses ? ", of the others" : "";
+        addRow(kind, count, loss, FALSE_POSITIVES + others, figuresOf(trials, Result::ofOtherMembers));
+    }
+
+    private static List<Double> figuresOf(List<Result> trials, ToLongFunction<Result> figure) {
+        return trials.stream().map(trial -> (double) figure.applyAsLong(trial)).toList();
     }
 
     private static <T> List<T> runSeeds(int seeds, int threads, LongFunction<T> trial) throws InterruptedException {
--- a/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
@@ -1,6 +1,7 @@
 package tansypass.testbed.simulation;
 
 import java.util.HexFormat;
+import java.util.Optional;
 import tansypass.balancer.AttemptResult;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.model.LinkState;
@@ -63,26 +64,23 @@
         hasArrived = true;
         attempt = checker.attemptStarted(queue.nowUs(), id, server.number());
         execution = server.model()
-                .serve(
-                        context.clients.classOf(id),
-                        id,
-                        isFirstOnConnection,
-                        (status, body, report, isRejected) -> sendResponse(status, body, isRejected));
+                .serve(context.clients.classOf(id), Optional.of(id), isFirstOnConnection, this::sendResponse);
     }
 
-    private void sendResponse(int status, String body, boolean isRejected) {
+    private void sendResponse(WebServer.Response response) {
         if (isOver) {
             return;
         }
-        if (status == OK) {
-            checker.responseProduced(queue.nowUs(), id, server.number(), body);
+        if (response.status() == OK) {
+            checker.responseProduced(queue.nowUs(), id, server.number(), response.body());
         }
-        end(isRejected);
+        end(response.isRejected());
         if (!link.isCut(Direction.BACK)) {
             long dueUs = link.dueUs(Direction.BACK, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             queue.after(
                     dueUs - queue.nowUs(),
-                    () -> sender.deliver(() -> callback.onComplete(AttemptResult.OK, status, body)));
+                    () -> sender.deliver(
+                            () -> callback.onComplete(AttemptResult.OK, response.status(), response.body())));
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
@@ -18,18 +18,18 @@
     }
 
     /** Runs the scenario with the product's own parts and returns the checker, which has seen all events. */
-    public static InvariantChecker play(Scenario scenario, long seed) {
-        return play(scenario, seed, NodeParts.OWN);
+    public static InvariantChecker run(Scenario scenario, long seed) {
+        return run(scenario, seed, NodeParts.OWN);
     }
 
     /** Runs the scenario with nodes made of these parts and returns the checker. */
-    public static InvariantChecker play(Scenario scenario, long seed, NodeParts parts) {
+    public static InvariantChecker run(Scenario scenario, long seed, NodeParts parts) {
         SimulationRun run = new SimulationRun(scenario, seed, parts);
-        run.play();
+        run.runToEnd();
         return run.checker;
     }
 
-    private void play() {
+    private void runToEnd() {
         context.nodes.forEach(SimulatedNodeHandle::start);
         context.nodes.forEach(node -> context.registry.addWatcher(node::notifyOf));
         new FaultSchedule(scenario, new SimulatedFaultInjector(context)).start(context.queue);
--- a/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
@@ -31,7 +31,7 @@
             + TestScenarios.fault("cut", "\"node-1\", \"node-*\"", "1s", "4s", ""));
 
     private static Optional<ScheduleExplorer.Found> explore(NodeParts parts) throws InterruptedException {
-        return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.play(scenario, seed, parts))
+        return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, MAX_RUNS, 2)
                 .found();
     }
@@ -41,9 +41,9 @@
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallest().faults().size() <= 1, found.toString());
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
-        InvariantChecker replayed = SimulationRun.play(reloaded, found.seed(), faulty);
+        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faulty);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
-        assertEquals(List.of(), SimulationRun.play(reloaded, found.seed()).violations());
+        assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
     }
 
     @Test
--- a/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
@@ -35,7 +35,7 @@
     private static final Scenario SCENARIO = TestScenarios.of(TestScenarios.SMALL);
 
     private static Optional<ScheduleExplorer.Found> explore(NodeParts parts, int maxRuns) throws InterruptedException {
-        return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.play(scenario, seed, parts))
+        return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, maxRuns, 2)
                 .found();
     }
@@ -46,9 +46,9 @@
         assertTrue(found.smallest().faults().size() <= 2, found.toString());
         // The scenario as a file gives the same violation, and none with the product's own parts.
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
-        InvariantChecker replayed = SimulationRun.play(reloaded, found.seed(), faulty);
+        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faulty);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
-        assertEquals(List.of(), SimulationRun.play(reloaded, found.seed()).violations());
+        assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
     }
 
     /** A balancer whose calls are intercepted. */
@@ -160,7 +160,7 @@
                         .contains(found.violation().invariant()),
                 found.toString());
         List<Invariant> all = new ArrayList<>();
-        SimulationRun.play(found.smallest(), found.seed(), leaks).violations().forEach(b -> all.add(b.invariant()));
+        SimulationRun.run(found.smallest(), found.seed(), leaks).violations().forEach(b -> all.add(b.invariant()));
         assertTrue(all.contains(Invariant.LEAKED) || all.contains(Invariant.REPEATED), all.toString());
     }
 
--- /dev/null
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipInputTest.java
@@ -0,0 +1,87 @@
+package tansypass.testbed.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.junit.jupiter.api.Test;
+import tansypass.cluster.membership.Member;
+import tansypass.cluster.membership.MemberState;
+import tansypass.cluster.membership.MembershipCounters;
+import tansypass.cluster.membership.Message;
+import tansypass.cluster.membership.MessageCodec;
+import tansypass.cluster.runtime.RandomStreams;
+
+/** Datagrams of other deployments, malformed ones, and updates that no process sent. */
+class MembershipInputTest extends MembershipTestCase {
+    @Test
+    void rejectsAndCountsMembersOfAnotherDeployment() {
+        SimulatedCluster cluster = startCluster(14, 5);
+        int foreign = cluster.add("stranger");
+        cluster.start(foreign, List.of(0), 0, "other");
+        cluster.run(100 * SECOND_US);
+        assertTrue(cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_DEPLOYMENT) > 0);
+        assertEquals(1, cluster.view(foreign).members().size());
+        assertEquals(5, cluster.view(0).members().size());
+        assertNoAnomalies();
+    }
+
+    @Test
+    void dropsAndCountsMalformedDatagrams() {
+        SimulatedCluster cluster = startCluster(15, 10);
+        UniformRandomProvider random = RandomStreams.of(15, "garbage");
+        byte[] good = new MessageCodec()
+                .encode(new Message.Ping(new Message.Envelope("d", 1, "node-1", 1, List.of()), 7, "node-0"));
+        long before = cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_MALFORMED);
+        int bad = 0;
+        for (int i = 0; i < 2_000; i++) {
+            byte[] some = new byte[random.nextInt(1_600)];
+            random.nextBytes(some);
+            cluster.injectDatagram(0, some);
+            bad++;
+            byte[] cut = Arrays.copyOf(good, random.nextInt(good.length - 1));
+            cluster.injectDatagram(0, cut);
+            bad++;
+            cluster.injectDatagram(0, good);
+        }
+        assertEquals(bad, cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_MALFORMED) - before);
+        cluster.run(60 * SECOND_US);
+        assertTrue(cluster.hasConverged());
+        assertTrue(cluster.swimProtocol(0).pendingUpdates() <= 10);
+        assertNoAnomalies();
+    }
+
+    @Test
+    void viewSizeIsBoundedUnderForgedUpdates() {
+        SimulatedCluster cluster = startCluster(16, 3);
+        for (int i = 0; i < 6_000; i++) {
+            cluster.injectDatagram(0, forged("node-1", "fake-" + i, 1, MemberState.ALIVE, 0));
+        }
+        assertTrue(cluster.view(0).members().size() <= SETTINGS.maxMembers());
+        assertTrue(cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_FULL) > 0);
+    }
+
+    @Test
+    void failedMemberReturnsOnlyWithHigherIncarnation() {
+        SimulatedCluster cluster = startCluster(18, 5);
+        Member victim = cluster.view(0).members().get(3);
+        cluster.kill(3);
+        assertTrue(cluster.runUntilConverged(200 * SECOND_US) >= 0);
+        assertNoAnomalies();
+        byte[] old = new MessageCodec()
+                .encode(new Message.Gossip(new Message.Envelope("d", 1, "node-1", 1, List.of(victim))));
+        cluster.injectDatagram(0, old);
+        cluster.run(SECOND_US);
+        assertEquals(MemberState.FAILED, state(cluster, 0, "node-3"));
+        assertNoAnomalies();
+        // The same with an incarnation that only the dead process could have sent.
+        Member refuted = new Member(victim.identity(), MemberState.ALIVE, 99, "");
+        cluster.injectDatagram(
+                0,
+                new MessageCodec()
+                        .encode(new Message.Gossip(new Message.Envelope("d", 1, "node-1", 1, List.of(refuted)))));
+        assertEquals(MemberState.ALIVE, state(cluster, 0, "node-3"));
+    }
+}
--- a/testbed/src/test/java/tansypass/testbed/simulation/SimulationRunTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SimulationRunTest.java
@@ -13,7 +13,7 @@
 class SimulationRunTest {
 
     private static InvariantChecker play(String text, long seed) {
-        return SimulationRun.play(TestScenarios.of(text), seed);
+        return SimulationRun.run(TestScenarios.of(text), seed);
     }
 
     private static double served(InvariantChecker checker) {
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -138,10 +138,10 @@
         List<Supplier<String>> runs = new ArrayList<>();
         scenarios()
                 .forEach((name, scenario) -> LongStream.rangeClosed(1, LARGE.contains(name) ? 1 : SEEDS)
-                        .forEach(seed -> runs.add(() -> line(name, seed, SimulationRun.play(scenario, seed)))));
+                        .forEach(seed -> runs.add(() -> line(name, seed, SimulationRun.run(scenario, seed)))));
         Scenario small = TestScenarios.of(TestScenarios.SMALL);
         LongStream.rangeClosed(1, SEEDS)
-                .forEach(seed -> runs.add(() -> line("violations", seed, SimulationRun.play(small, seed, FAULTY))));
+                .forEach(seed -> runs.add(() -> line("violations", seed, SimulationRun.run(small, seed, FAULTY))));
         // Runs share nothing, so they may run side by side; the order of the lines stays.
         String actual = runs.parallelStream().map(Supplier::get).collect(Collectors.joining("\n"));
         assertEquals(
@@ -180,11 +180,11 @@
 
     @Test
     void injectedFaultChangesTrace() throws IOException {
-        InvariantChecker faulty = SimulationRun.play(TestScenarios.of(TestScenarios.SMALL), 1, FAULTY);
+        InvariantChecker faulty = SimulationRun.run(TestScenarios.of(TestScenarios.SMALL), 1, FAULTY);
         assertTrue(faulty.violationCount() > 10, () -> "violations: " + faulty.violationCount());
         assertTrue(recorded().contains(line("violations", 1, faulty)));
         assertNotEquals(
-                SimulationRun.play(TestScenarios.of(TestScenarios.SMALL), 1).traceHash(), faulty.traceHash());
+                SimulationRun.run(TestScenarios.of(TestScenarios.SMALL), 1).traceHash(), faulty.traceHash());
     }
 
     /** Violations carry these names into the trace: renaming one changes traces that hold it. */
