--- a/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
+++ b/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import tansypass.cluster.membership.ClusterSizeEstimator;
 import tansypass.cluster.transport.ClusterMember;
-import tansypass.node.ClusterView;
+import tansypass.node.process.ClusterView;
 
 /**
  * Connects a node with its cluster member: reports the cluster size from the member's view to the node, from which its
--- a/node/src/main/java/tansypass/node/ConfigSource.java
+++ b/node/src/main/java/tansypass/node/ConfigSource.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /** Where a process reads its configuration from. Called from the main thread and from that of signals. */
-interface ConfigSource {
+public interface ConfigSource {
 
     /**
      * Reads the configuration to start with.
--- a/node/src/main/java/tansypass/node/InvalidNodeConfigException.java
+++ b/node/src/main/java/tansypass/node/InvalidNodeConfigException.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns the failure itself if it is of this type, else this type with the same message. */
-    static InvalidNodeConfigException from(IllegalArgumentException failure) {
+    public static InvalidNodeConfigException from(IllegalArgumentException failure) {
         return failure instanceof InvalidNodeConfigException invalid
                 ? invalid
                 : new InvalidNodeConfigException(failure.getMessage(), failure);
--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -7,6 +7,10 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.process.ClassArchiveTraining;
+import tansypass.node.process.ClusterView;
+import tansypass.node.process.NodeProcess;
+import tansypass.node.process.ProxyNode;
 
 /** Entry points of a node: the platform's process, and the calls of the command line. */
 public final class Main {
--- a/node/src/main/java/tansypass/node/NodeConfig.java
+++ b/node/src/main/java/tansypass/node/NodeConfig.java
@@ -23,7 +23,7 @@
  * @param settings of the decision module
  * @param initialEndpoints the endpoint list to start with; empty if the configuration has none
  */
-record NodeConfig(
+public record NodeConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         InetSocketAddress admin,
@@ -40,7 +40,7 @@
      * @param environment the platform's variables, which take precedence over the file
      * @throws InvalidNodeConfigException if the file can't be read, or a value is missing or invalid
      */
-    static NodeConfig read(Map<String, String> environment) {
+    public static NodeConfig read(Map<String, String> environment) {
         String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new InvalidNodeConfigException(FILE_VARIABLE + " is not set");
@@ -60,7 +60,7 @@
      * @param environment the platform's variables, which take precedence over the text
      * @throws InvalidNodeConfigException if the text is not a JSON object, or a value is missing or invalid
      */
-    static NodeConfig parse(String text, Map<String, String> environment) {
+    public static NodeConfig parse(String text, Map<String, String> environment) {
         JsonObject json;
         try {
             json = JsonParser.parseString(text).getAsJsonObject();
--- a/node/src/main/java/tansypass/node/BalancerExecutor.java
+++ b/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
@@ -1,7 +1,6 @@
-package tansypass.node;
+package tansypass.node.balancing;
 
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -17,7 +16,7 @@
  * the module's clock and its one timer. All methods but {@link #executeOnLoop} are to be called on the event
  * loop.
  */
-final class BalancerExecutor {
+public final class BalancerExecutor {
     private static final Logger LOG = System.getLogger(BalancerExecutor.class.getName());
 
     private static final long NS_PER_US = 1_000;
@@ -35,43 +34,49 @@
     private boolean closed;
     private ScheduledFuture<?> timer;
 
-    /** A queued call of the module, and the request that it concerns, or null. */
-    private record Call(InFlightRequest request, Consumer<LoadBalancer> action) {}
+    /** Is notified when a call of the module has failed. */
+    public interface FailureListener {
+        /** Called once for each call that has thrown, before the next call. */
+        void onBalancerFailure();
+    }
+
+    /** A queued call of the module, and the listener that it has, or null. */
+    private record Call(FailureListener failureListener, Consumer<LoadBalancer> action) {}
 
     /** Creates an executor without a module: {@link #setBalancer} has to follow. */
-    BalancerExecutor(EventLoop loop, NodeMetrics metrics) {
+    public BalancerExecutor(EventLoop loop, NodeMetrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
     }
 
     /** Sets the module; to be called once, before any other method that calls it. */
-    void setBalancer(LoadBalancer balancer) {
+    public void setBalancer(LoadBalancer balancer) {
         this.balancer = balancer;
     }
 
-    /** Calls the module for an event that concerns no single request; see the method with a request. */
-    void execute(Consumer<LoadBalancer> action) {
+    /** Calls the module for an event that concerns no single request; see the method with a listener. */
+    public void execute(Consumer<LoadBalancer> action) {
         execute(null, action);
     }
 
     /** Calls the module for an event that concerns no single request; may be called from any thread. */
-    void executeOnLoop(Consumer<LoadBalancer> action) {
+    public void executeOnLoop(Consumer<LoadBalancer> action) {
         loop.execute(() -> execute(action));
     }
 
     /**
      * Calls the module, or queues the call while another one is running: an immediate consequence of the module's own
      * action (a connection refused, an attempt not sent) is reported only after the call that caused it has
-     * returned. If the call throws, the request gets an error response.
+     * returned.
      *
-     * @param request the request that the event concerns, or null
+     * @param failureListener notified if the call throws, such as the request that the event concerns; or null
      */
-    void execute(InFlightRequest request, Consumer<LoadBalancer> action) {
+    public void execute(FailureListener failureListener, Consumer<LoadBalancer> action) {
         if (closed) {
             // The module would react to the end of attempts by sending the requests in its queue.
             return;
         }
-        calls.add(new Call(request, action));
+        calls.add(new Call(failureListener, action));
         if (running) {
             return;
         }
@@ -86,40 +91,40 @@
         }
     }
 
-    /** A fault in one call must not end the node; its request still gets a response. */
+    /** A fault in one call must not end the node; the request that it concerns still gets a response. */
     private void run(Call call) {
         try {
             call.action.accept(balancer);
         } catch (RuntimeException e) {
             LOG.log(Level.ERROR, "balancer call failed", e);
-            if (call.request != null) {
-                call.request.fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+            if (call.failureListener != null) {
+                call.failureListener.onBalancerFailure();
             }
         }
     }
 
     /** Returns the time of the module's clock, in microseconds. */
-    long nowUs() {
+    public long nowUs() {
         return toUs(System.nanoTime());
     }
 
     /** Converts a reading of {@link System#nanoTime} to the module's clock, in microseconds. */
-    long toUs(long nanoTime) {
+    public long toUs(long nanoTime) {
         return originUs + (nanoTime - originNanos) / NS_PER_US;
     }
 
     /** Schedules a task for a time of the module's clock; the caller owns the timer. */
-    ScheduledFuture<?> scheduleAt(long timeUs, Runnable task) {
+    public ScheduledFuture<?> scheduleAt(long timeUs, Runnable task) {
         return loop.schedule(task, Math.max(0, timeUs - nowUs()), TimeUnit.MICROSECONDS);
     }
 
     /** Schedules a task after a delay in milliseconds; the caller owns the timer. */
-    ScheduledFuture<?> scheduleIn(long delayMs, Runnable task) {
+    public ScheduledFuture<?> scheduleIn(long delayMs, Runnable task) {
         return loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** Sets the module's one timer to a time of its clock, in microseconds; a pending one is replaced. */
-    void scheduleTimer(long atUs) {
+    public void scheduleTimer(long atUs) {
         if (timer != null) {
             timer.cancel(false);
         }
@@ -127,7 +132,7 @@
     }
 
     /** Cancels the module's timer and makes no further call. */
-    void close() {
+    public void close() {
         if (timer != null) {
             timer.cancel(false);
         }
--- a/node/src/main/java/tansypass/node/EndpointTranslator.java
+++ b/node/src/main/java/tansypass/node/balancing/EndpointTranslator.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.balancing;
 
 import io.netty.channel.EventLoop;
 import java.lang.System.Logger;
@@ -10,6 +10,7 @@
 import java.util.Map;
 import tansypass.balancer.ServerEntry;
 import tansypass.balancer.UpdateKind;
+import tansypass.node.NodeConfig;
 import tansypass.node.discovery.EndpointList;
 import tansypass.node.discovery.EndpointWatch;
 import tansypass.node.discovery.ExponentialBackoff;
@@ -47,7 +48,8 @@
     private String lastFailure;
 
     /** Creates a translator that has applied no endpoint list and opened no watch. */
-    EndpointTranslator(NodeConfig config, EventLoop loop, BalancerExecutor balancer, UpstreamConnectionPool pool) {
+    public EndpointTranslator(
+            NodeConfig config, EventLoop loop, BalancerExecutor balancer, UpstreamConnectionPool pool) {
         this.config = config;
         this.balancer = balancer;
         this.pool = pool;
@@ -67,7 +69,7 @@
     }
 
     /** Applies the configuration's endpoint list, and opens the watch unless the module requests it when needed. */
-    void start() {
+    public void start() {
         apply(UpdateKind.CACHED, config.initialEndpoints());
         if (!config.settings().listPolling()) {
             watch.subscribe();
@@ -75,25 +77,25 @@
     }
 
     /** Applies the configuration's endpoint list and opens no watch, now or later. */
-    void startWithoutWatch() {
+    public void startWithoutWatch() {
         watchEnabled = false;
         apply(UpdateKind.CACHED, config.initialEndpoints());
     }
 
     /** Opens the watch; one that is open is replaced. */
-    void subscribe() {
+    public void subscribe() {
         if (watchEnabled) {
             watch.subscribe();
         }
     }
 
     /** Changes the discovery agent's address; null if there is none, and the endpoint list no longer changes. */
-    void setDiscoveryAddress(InetSocketAddress address) {
+    public void setDiscoveryAddress(InetSocketAddress address) {
         watch.changeAddress(address);
     }
 
     /** Closes the watch. */
-    void close() {
+    public void close() {
         watch.close();
     }
 
--- a/node/src/main/java/tansypass/node/package-info.java
+++ b/node/src/main/java/tansypass/node/package-info.java
@@ -1,9 +1,8 @@
 /**
- * A proxy node: the process's entry point, its configuration, and the classes between the sockets and the
- * decision module. {@link tansypass.node.ProxyNode} wires them and starts and stops them;
- * {@link tansypass.node.RequestDispatcher} keeps the requests in flight and carries out what the module asks
- * for; {@link tansypass.node.BalancerExecutor} calls the module; and
- * {@link tansypass.node.EndpointTranslator} turns endpoint lists into the module's form. Unless said
- * otherwise, all of it runs on one event loop.
+ * A proxy node: the entry point {@link tansypass.node.Main} and the configuration. Packages, each of which uses only
+ * those after it: {@code process} (start, signals, wiring), {@code warmup}, {@code request} (requests in flight),
+ * {@code balancing} (calls of the decision module), {@code admin}, {@code frontend} (clients), {@code upstream} (web
+ * servers), {@code discovery} (endpoint lists), {@code lifecycle} (state and resources of the process) and {@code http}
+ * (messages). Unless said otherwise, all of it runs on one event loop.
  */
 package tansypass.node;
--- a/node/src/main/java/tansypass/node/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -1,18 +1,21 @@
-package tansypass.node;
+package tansypass.node.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.util.List;
 import java.util.Map;
+import tansypass.node.ConfigSource;
+import tansypass.node.NodeConfig;
 import tansypass.node.lifecycle.CeilingIoHandler;
 import tansypass.node.lifecycle.OpenFileLimit;
+import tansypass.node.warmup.WarmUp;
 
 /**
  * The training run of the build: a node starts, warms up, listens on a free port and ends. The classes that it loads
  * go into the class data sharing archive, from which the real process starts faster.
  */
-final class ClassArchiveTraining {
+public final class ClassArchiveTraining {
     /** Port 1 refuses connections, so that the failures of discovery and of an attempt are part of the run. */
     private static final String CONFIG = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
@@ -25,7 +28,7 @@
     private ClassArchiveTraining() {}
 
     /** Starts the run; its event loop's thread is what keeps the process alive until the end. */
-    static void run() {
+    public static void run() {
         loadStartClasses();
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
         EventLoop loop = group.next();
--- a/node/src/main/java/tansypass/node/ClusterView.java
+++ b/node/src/main/java/tansypass/node/process/ClusterView.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.process;
 
 /** The node's connection to the cluster that it is a member of. Thread-safe; no method blocks. */
 public interface ClusterView {
--- a/node/src/main/java/tansypass/node/HangupSignal.java
+++ b/node/src/main/java/tansypass/node/process/HangupSignal.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.process;
 
 import java.lang.reflect.Proxy;
 
--- a/node/src/main/java/tansypass/node/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.process;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -11,17 +11,21 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import tansypass.node.ConfigSource;
+import tansypass.node.InvalidNodeConfigException;
+import tansypass.node.NodeConfig;
 import tansypass.node.admin.AdminServer;
 import tansypass.node.lifecycle.CeilingIoHandler;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
 import tansypass.node.lifecycle.OpenFileLimit;
+import tansypass.node.warmup.WarmUp;
 
 /**
  * A node as a process of its own: the order of its start, SIGHUP and SIGTERM, and the exits on failure. The start runs
  * on the main thread, signals on threads of the Java runtime; the node itself runs on its event loop.
  */
-final class NodeProcess {
+public final class NodeProcess {
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_INVALID_CONFIG = 2;
@@ -53,7 +57,7 @@
      * @param metricsFormatter see {@link AdminServer}; null for no metrics page
      * @param cluster null if the node is not a member of a cluster
      */
-    static void run(ConfigSource source, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
+    public static void run(ConfigSource source, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
         int openFiles = OpenFileLimit.read();
         if (openFiles < DescriptorLimiter.MIN_DESCRIPTORS) {
             exit(
--- a/node/src/main/java/tansypass/node/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.process;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -15,18 +15,26 @@
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.RequestClass;
 import tansypass.balancer.ServiceQLoadBalancer;
+import tansypass.node.InvalidNodeConfigException;
+import tansypass.node.NodeConfig;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.balancing.BalancerExecutor;
+import tansypass.node.balancing.EndpointTranslator;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
+import tansypass.node.request.RequestDispatcher;
 import tansypass.node.upstream.UpstreamConnectionPool;
+import tansypass.node.warmup.WarmUp;
+import tansypass.node.warmup.WarmUpRequestFactory;
+import tansypass.node.warmup.WarmUpSender;
 
 /**
  * A node: creates its parts, starts them and stops them. Methods are to be called on its event loop unless
  * they say otherwise.
  */
-public final class ProxyNode {
+public final class ProxyNode implements WarmUpSender {
     private static final Logger LOG = System.getLogger(ProxyNode.class.getName());
 
     /** Clients connect for up to 0.4 s after SIGTERM, and their requests follow at once. */
@@ -68,7 +76,7 @@
      *
      * @param quarantineMs milliseconds from a response until its upstream connection is used again
      */
-    ProxyNode(NodeConfig config, EventLoop loop, long quarantineMs) {
+    private ProxyNode(NodeConfig config, EventLoop loop, long quarantineMs) {
         this.config = config;
         this.loop = loop;
         BalancerSettings settings = config.settings();
@@ -85,6 +93,16 @@
                 loop, descriptors, new ClientRequestParser(settings), lifecycle, metrics, dispatcher::accept);
     }
 
+    /**
+     * Creates the node that sends the requests of another node's warm-up; may be called from any thread.
+     *
+     * @param targetConfig of the node to warm up
+     * @param target the address that it listens on for the warm-up
+     */
+    public static WarmUpSender newWarmUpSender(NodeConfig targetConfig, InetSocketAddress target, EventLoop loop) {
+        return new ProxyNode(WarmUp.createSenderConfig(targetConfig, target), loop, WarmUp.SENDER_QUARANTINE_MS);
+    }
+
     private LoadBalancer createBalancer() {
         try {
             return new ServiceQLoadBalancer(config.settings(), config.seed(), dispatcher);
@@ -101,7 +119,7 @@
      * @param warmUpRequests number of requests of the warm-up
      * @return the listening channel, or why it can't listen; cancelled if the node was stopped before that
      */
-    Promise<Channel> start(EventLoopGroup group, int warmUpRequests) {
+    public Promise<Channel> start(EventLoopGroup group, int warmUpRequests) {
         Promise<Channel> ready = loop.newPromise();
         endpoints.start();
         // The clients' address may still be in use by another process, which would get some of the warm-up's requests.
@@ -125,7 +143,14 @@
             listener.close();
             whenWarm.run();
         };
-        new WarmUp(loop, config, address, token, requests, WARM_UP_TIMEOUT_MS, whenDone).run();
+        new WarmUp(
+                        loop,
+                        newWarmUpSender(config, address, loop),
+                        new WarmUpRequestFactory(config.settings(), token),
+                        requests,
+                        WARM_UP_TIMEOUT_MS,
+                        whenDone)
+                .run();
     }
 
     private void listen(EventLoopGroup group, Promise<Channel> ready) {
@@ -151,27 +176,28 @@
     }
 
     /** Returns the node's counters; may be called and read from any thread. */
-    NodeMetrics metrics() {
+    public NodeMetrics metrics() {
         return metrics;
     }
 
     /** Returns whether the node serves clients; may be called and changed from any thread. */
-    Lifecycle lifecycle() {
+    public Lifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** Starts a node that only sends a warm-up's requests: its endpoint list is fixed, and it does not listen. */
-    void startForWarmUp() {
+    @Override
+    public void startForWarmUp() {
         endpoints.startWithoutWatch();
     }
 
-    /** Sets up a client's connection on a channel of the warm-up. */
-    void openWarmUpConnection(ChannelPipeline pipeline) {
+    @Override
+    public void openWarmUpConnection(ChannelPipeline pipeline) {
         frontend.addClientHandlers(pipeline);
     }
 
     /** Ends all requests and releases timers and connections; for a node that has not served clients. */
-    void close() {
+    @Override
+    public void close() {
         balancer.close();
         dispatcher.close();
         endpoints.close();
@@ -180,13 +206,13 @@
     }
 
     /** Applies the discovery agent's address, the only setting that may change without a restart. */
-    void reload(NodeConfig changed) {
+    public void reload(NodeConfig changed) {
         LOG.log(Level.INFO, "configuration reloaded discovery={0}", changed.discovery());
         endpoints.setDiscoveryAddress(changed.discovery());
     }
 
     /** Reports a change of the cluster's size, as {@link LoadBalancer#onClusterSize} takes it; from any thread. */
-    void onClusterSize(int present, int lost) {
+    public void onClusterSize(int present, int lost) {
         balancer.executeOnLoop(b -> b.onClusterSize(balancer.nowUs(), present, lost));
     }
 
@@ -195,7 +221,7 @@
      * responses. A request without a response after {@link #stopTimeoutMs} gets an error, before the process may be
      * killed.
      */
-    void stop(Runnable done) {
+    public void stop(Runnable done) {
         lifecycle.stop();
         loop.schedule(
                 () -> frontend.stopAccepting(() -> runWhenDrained(done)),
@@ -205,7 +231,7 @@
     }
 
     /** Returns the milliseconds from SIGTERM to SIGKILL, less a margin for the last responses; from any thread. */
-    long stopTimeoutMs() {
+    public long stopTimeoutMs() {
         long longestDeadlineUs = config.settings().classes().stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
--- a/node/src/main/java/tansypass/node/StandardError.java
+++ b/node/src/main/java/tansypass/node/process/StandardError.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.process;
 
 /** Messages to the operator that do not depend on the log being configured. Thread-safe. */
 final class StandardError {
--- a/node/src/main/java/tansypass/node/HealthProbe.java
+++ b/node/src/main/java/tansypass/node/request/HealthProbe.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.request;
 
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.ScheduledFuture;
 import tansypass.balancer.AttemptResult;
+import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.http.UpstreamResponse;
 import tansypass.node.upstream.AttemptHandler;
 import tansypass.node.upstream.UpstreamAttempt;
--- a/node/src/main/java/tansypass/node/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.request;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.util.concurrent.ScheduledFuture;
@@ -11,6 +11,7 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.balancer.BalancerRequest;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.frontend.ClientRequest;
 import tansypass.node.frontend.Exchange;
 import tansypass.node.http.ResponseBodySink;
@@ -21,7 +22,13 @@
  * A client's request from its arrival until its response has been sent and none of its attempts is in flight. It
  * owns the timer of its deadline, and later that of its response. Used on the event loop only.
  */
-final class InFlightRequest {
+final class InFlightRequest implements RequestAttempt.Listener {
+    /** Is notified when a request is complete. */
+    interface CompletionListener {
+        /** Called when the request has ended and none of its attempts is in flight; may be called again. */
+        void onRequestComplete(InFlightRequest request);
+    }
+
     private static final Logger LOG = System.getLogger(InFlightRequest.class.getName());
 
     /** How much earlier than the client's the module's deadline is, or this fraction of the remaining time if that is
@@ -36,11 +43,13 @@
 
     private final Exchange exchange;
     private final long id;
-    private final RequestDispatcher dispatcher;
+    private final CompletionListener completionListener;
     private final BalancerExecutor balancer;
     private final NodeMetrics metrics;
     private final List<RequestAttempt> attempts = new ArrayList<>(2);
+    /** The module's deadline, a time of its clock in microseconds; Long.MAX_VALUE until the body is complete. */
     private long deadlineUs = Long.MAX_VALUE;
+
     private ScheduledFuture<?> deadlineTimer;
     private int attemptsInFlight;
     private boolean ended;
@@ -48,10 +57,11 @@
     private boolean relayingPastDeadline;
 
     /** Creates a request that the module does not know yet. */
-    InFlightRequest(Exchange exchange, RequestDispatcher dispatcher, BalancerExecutor balancer, NodeMetrics metrics) {
+    InFlightRequest(
+            Exchange exchange, CompletionListener completionListener, BalancerExecutor balancer, NodeMetrics metrics) {
         this.exchange = exchange;
         this.id = exchange.request().id();
-        this.dispatcher = dispatcher;
+        this.completionListener = completionListener;
         this.balancer = balancer;
         this.metrics = metrics;
     }
@@ -61,22 +71,18 @@
         return id;
     }
 
-    /** Returns the request as the client sent it. */
-    ClientRequest clientRequest() {
+    private ClientRequest clientRequest() {
         return exchange.request();
     }
 
-    /** Returns whether the client has its response or has disconnected. */
-    boolean hasEnded() {
+    @Override
+    public boolean hasRequestEnded() {
         return ended;
     }
 
-    /**
-     * Returns the module's deadline, a time of its clock in microseconds; Long.MAX_VALUE until the body is
-     * complete.
-     */
-    long deadlineUs() {
-        return deadlineUs;
+    @Override
+    public void onBalancerFailure() {
+        fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
     }
 
     /** Passes the request to the module, even while its body is still being received. */
@@ -166,10 +172,10 @@
      */
     void sendAttempt(UpstreamConnectionPool pool, String serverId, long attemptDeadlineUs) {
         long nowUs = balancer.nowUs();
-        RequestAttempt attempt = new RequestAttempt(this, balancer, attempts.size(), nowUs);
+        RequestAttempt attempt = new RequestAttempt(clientRequest(), this, balancer, attempts.size(), nowUs);
         attempts.add(attempt);
         attemptsInFlight++;
-        attempt.setDeadline(attemptDeadlineUs <= 0 ? deadlineUs : attemptDeadlineUs);
+        attempt.setDeadline(attemptDeadlineUs <= 0 ? deadlineUs : Math.min(attemptDeadlineUs, deadlineUs));
         if (ended || nowUs >= attempt.deadlineUs() || !clientRequest().body().isReplayable()) {
             attempt.onAttemptEnded(AttemptResult.NOT_SENT, null);
         } else {
@@ -177,22 +183,37 @@
         }
     }
 
-    /** Returns the attempt of this number if it has been sent and has not ended, else null. */
-    RequestAttempt attemptInFlight(int number) {
-        if (number < 0 || number >= attempts.size()) {
-            return null;
+    /**
+     * Sets the deadline of an attempt, at the latest that of the request; no effect unless the attempt is in flight.
+     *
+     * @param attemptDeadlineUs on the module's clock, in microseconds
+     */
+    void setAttemptDeadline(int attempt, long attemptDeadlineUs) {
+        if (isInFlight(attempt)) {
+            attempts.get(attempt).setDeadline(Math.min(attemptDeadlineUs, deadlineUs));
+        }
+    }
+
+    /** Aborts an attempt on the module's behalf; no effect unless the attempt is in flight. */
+    void cancelAttempt(int attempt) {
+        if (isInFlight(attempt)) {
+            attempts.get(attempt).cancel();
         }
-        RequestAttempt attempt = attempts.get(number);
-        return attempt.hasEnded() ? null : attempt;
     }
 
-    /** Counts an attempt whose request has been written completely. */
-    void onAttemptWritten() {
+    private boolean isInFlight(int attempt) {
+        return attempt >= 0
+                && attempt < attempts.size()
+                && !attempts.get(attempt).hasEnded();
+    }
+
+    @Override
+    public void onAttemptWritten() {
         metrics.recordAttempt();
     }
 
-    /** Starts to relay an attempt's response to the client and returns where its body goes. */
-    ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable) {
+    @Override
+    public ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable) {
         ResponseBodySink sink = exchange.startResponse(contentType, length, whenWritable);
         cancelDeadlineTimer();
         // One that may still turn out to be short has to be complete by the deadline, like any short one.
@@ -232,13 +253,9 @@
                 && exchange.responseIdleNs() >= TimeUnit.MILLISECONDS.toNanos(RESPONSE_SILENCE_MS);
     }
 
-    /**
-     * Counts an attempt as ended, and ends the request if the attempt has brought its response.
-     *
-     * @param response the response if it was buffered
-     * @param relayed whether the response has been relayed to the client, at least in part
-     */
-    void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed) {
+    /** Counts an attempt as ended, and ends the request if the attempt has brought its response. */
+    @Override
+    public void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed) {
         attemptsInFlight--;
         if (!ended && (result == AttemptResult.OK || relayed)) {
             if (!relayed) {
@@ -285,7 +302,7 @@
 
     private void removeIfComplete() {
         if (ended && attemptsInFlight == 0) {
-            dispatcher.remove(this);
+            completionListener.onRequestComplete(this);
         }
     }
 }
--- a/node/src/main/java/tansypass/node/RequestAttempt.java
+++ b/node/src/main/java/tansypass/node/request/RequestAttempt.java
@@ -1,9 +1,10 @@
-package tansypass.node;
+package tansypass.node.request;
 
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.util.concurrent.ScheduledFuture;
 import tansypass.balancer.AttemptOutcome;
 import tansypass.balancer.AttemptResult;
+import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.frontend.ClientRequest;
 import tansypass.node.http.RequestBody;
 import tansypass.node.http.ResponseBodySink;
@@ -17,7 +18,32 @@
  * timer of that deadline. Used on the event loop only.
  */
 final class RequestAttempt implements AttemptHandler {
-    private final InFlightRequest request;
+    /** The request that the attempt belongs to. */
+    interface Listener extends BalancerExecutor.FailureListener {
+        /** Returns whether the client has its response or has disconnected. */
+        boolean hasRequestEnded();
+
+        /** Called when the request has been written completely to a server. */
+        void onAttemptWritten();
+
+        /**
+         * Starts to relay the attempt's response to the client, unless the request has ended.
+         *
+         * @return where the body's parts go
+         */
+        ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable);
+
+        /**
+         * Called once, at the end of the attempt and before the decision module is notified.
+         *
+         * @param response the response if it was buffered, else null
+         * @param relayed whether the response has been relayed to the client, at least in part
+         */
+        void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed);
+    }
+
+    private final ClientRequest request;
+    private final Listener listener;
     private final BalancerExecutor balancer;
     private final int number;
     private long sentUs;
@@ -35,8 +61,9 @@
      * @param number counts the request's attempts from 0
      * @param sentUs time of the module's clock, in microseconds
      */
-    RequestAttempt(InFlightRequest request, BalancerExecutor balancer, int number, long sentUs) {
+    RequestAttempt(ClientRequest request, Listener listener, BalancerExecutor balancer, int number, long sentUs) {
         this.request = request;
+        this.listener = listener;
         this.balancer = balancer;
         this.number = number;
         this.sentUs = sentUs;
@@ -62,9 +89,9 @@
         return deadlineUs;
     }
 
-    /** Sets the deadline, at the latest that of the request; the attempt is then aborted with TIMEOUT. */
+    /** Sets the deadline, not after that of the request; the attempt is then aborted with TIMEOUT. */
     void setDeadline(long newDeadlineUs) {
-        deadlineUs = Math.min(newDeadlineUs, request.deadlineUs());
+        deadlineUs = newDeadlineUs;
         if (deadlineUs < Long.MAX_VALUE) {
             deadlineTimer = balancer.scheduleAt(deadlineUs, () -> upstreamAttempt.abort(AttemptResult.TIMEOUT));
         }
@@ -89,48 +116,46 @@
 
     @Override
     public HttpRequest createMessage() {
-        ClientRequest clientRequest = request.clientRequest();
-        return clientRequest.createUpstreamMessage(
-                Math.min(deadlineUs - balancer.nowUs(), clientRequest.remainingUs()));
+        return request.createUpstreamMessage(Math.min(deadlineUs - balancer.nowUs(), request.remainingUs()));
     }
 
     @Override
     public RequestBody requestBody() {
-        return request.clientRequest().body();
+        return request.body();
     }
 
     @Override
     public boolean expiresWithConnectTimeout() {
         // An idempotent request has no deduplication window: its retry may be sent as late as a first attempt.
-        return number > 0 && !request.clientRequest().isIdempotent();
+        return number > 0 && !request.isIdempotent();
     }
 
     @Override
     public void onRequestWritten() {
-        request.onAttemptWritten();
+        listener.onAttemptWritten();
     }
 
     @Override
     public ResponseBodySink onResponseStarted(String contentType, long length, Runnable whenWritable) {
-        if (request.hasEnded()) {
+        if (listener.hasRequestEnded()) {
             return ResponseBodySink.DISCARDING;
         }
         relaying = true;
         cancelDeadlineTimer();
-        return request.startResponse(number, contentType, length, whenWritable);
+        return listener.startResponse(number, contentType, length, whenWritable);
     }
 
     @Override
     public void onAttemptEnded(AttemptResult result, UpstreamResponse response) {
         ended = true;
         cancelDeadlineTimer();
-        request.onAttemptEnded(result, response, relaying);
+        listener.onAttemptEnded(result, response, relaying);
         long latencyUs = balancer.nowUs() - sentUs;
         balancer.execute(
-                request,
+                listener,
                 b -> b.onOutcome(
                         balancer.nowUs(),
-                        new AttemptOutcome(request.id(), number, result, latencyUs, request.hasEnded(), null)));
+                        new AttemptOutcome(request.id(), number, result, latencyUs, listener.hasRequestEnded(), null)));
     }
 
     private void cancelDeadlineTimer() {
--- a/node/src/main/java/tansypass/node/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/request/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.request;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.lang.System.Logger;
@@ -9,6 +9,8 @@
 import java.util.Map;
 import tansypass.balancer.LoadBalancerActions;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.balancing.BalancerExecutor;
+import tansypass.node.balancing.EndpointTranslator;
 import tansypass.node.frontend.Exchange;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
@@ -16,7 +18,7 @@
  * Keeps the requests in flight and carries out the decision module's actions on them. It decides nothing. All
  * methods are to be called on the event loop; the actions are called by the module only.
  */
-final class RequestDispatcher implements LoadBalancerActions {
+public final class RequestDispatcher implements LoadBalancerActions {
     private static final Logger LOG = System.getLogger(RequestDispatcher.class.getName());
 
     private final BalancerExecutor balancer;
@@ -24,9 +26,11 @@
     private final EndpointTranslator endpoints;
     private final NodeMetrics metrics;
     private final Map<Long, InFlightRequest> requests = new HashMap<>();
+    /** One for all requests, so that none allocates its own. */
+    private final InFlightRequest.CompletionListener completionListener = this::remove;
 
     /** Creates a dispatcher without requests. */
-    RequestDispatcher(
+    public RequestDispatcher(
             BalancerExecutor balancer, UpstreamConnectionPool pool, EndpointTranslator endpoints, NodeMetrics metrics) {
         this.balancer = balancer;
         this.pool = pool;
@@ -35,29 +39,29 @@
     }
 
     /** Accepts a client's request; responds 409 to one whose id is in flight already. */
-    void accept(Exchange exchange) {
+    public void accept(Exchange exchange) {
         long id = exchange.request().id();
         if (requests.containsKey(id)) {
             exchange.fail(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
             return;
         }
-        InFlightRequest request = new InFlightRequest(exchange, this, balancer, metrics);
+        InFlightRequest request = new InFlightRequest(exchange, completionListener, balancer, metrics);
         requests.put(id, request);
         request.start();
     }
 
     /** Removes a request that has ended and has no attempt in flight. */
-    void remove(InFlightRequest request) {
+    private void remove(InFlightRequest request) {
         requests.remove(request.id(), request);
     }
 
     /** Responds with an error to all requests whose response has not started. */
-    void failUnanswered() {
+    public void failUnanswered() {
         List.copyOf(requests.values()).forEach(InFlightRequest::failIfUnanswered);
     }
 
     /** Ends all requests without a response. */
-    void close() {
+    public void close() {
         // A copy: a request whose attempt waits for a connection is removed as it ends.
         List.copyOf(requests.values()).forEach(InFlightRequest::end);
     }
@@ -77,23 +81,18 @@
 
     @Override
     public void setAttemptDeadline(long requestId, int attempt, long deadlineUs) {
-        RequestAttempt found = attemptInFlight(requestId, attempt);
-        if (found != null) {
-            found.setDeadline(deadlineUs);
+        InFlightRequest request = requests.get(requestId);
+        if (request != null) {
+            request.setAttemptDeadline(attempt, deadlineUs);
         }
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        RequestAttempt found = attemptInFlight(requestId, attempt);
-        if (found != null) {
-            found.cancel();
-        }
-    }
-
-    private RequestAttempt attemptInFlight(long requestId, int attempt) {
         InFlightRequest request = requests.get(requestId);
-        return request == null ? null : request.attemptInFlight(attempt);
+        if (request != null) {
+            request.cancelAttempt(attempt);
+        }
     }
 
     @Override
--- a/node/src/main/java/tansypass/node/WarmUp.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUp.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.warmup;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.ServerState;
+import tansypass.node.NodeConfig;
 import tansypass.node.discovery.EndpointList;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
@@ -17,12 +18,12 @@
  * address, where they are recognised by a token and responded to at once; none of them reaches a web server or the
  * first node's decision module. Used on the event loop only.
  */
-final class WarmUp {
+public final class WarmUp {
     /**
      * Requests after which the code that each request runs has been compiled: the interpreter checks a method's calls
      * every 128, and requests its compilation beyond 200. More would only delay the start.
      */
-    static final int REQUESTS = 300;
+    public static final int REQUESTS = 300;
 
     private static final int CONCURRENT_REQUESTS = 4;
     /** Each connection takes two descriptors, since both ends are in this process: without a bound the start could
@@ -33,14 +34,14 @@
     private static final long SEED = 1;
     /** This server sends nothing beyond its responses, so that its connections can be reused at once; with a
      * quarantine a fast machine would have many of them waiting. */
-    private static final long NO_QUARANTINE_MS = 0;
+    public static final long SENDER_QUARANTINE_MS = 0;
 
     private final EventLoop loop;
     private final WarmUpRequestFactory requestFactory;
     private final int requestCount;
     private final long deadlineNs;
     private final Runnable whenDone;
-    private final ProxyNode sender;
+    private final WarmUpSender sender;
     private int sentCount;
     private int responseCount;
     private boolean ended;
@@ -48,31 +49,33 @@
     /**
      * Creates a warm-up that has not started.
      *
-     * @param targetConfig of the node to warm up
-     * @param target the address that it listens on
-     * @param token by which it recognises the requests
+     * @param sender forwards the requests, with the configuration of {@link #createSenderConfig}; closed at the end
      * @param requestCount how many requests are sent, unless the timeout comes first
      * @param timeoutMs milliseconds from now to the end of the warm-up at the latest
      * @param whenDone runs once at the end, whether all requests were responded to or not
      */
-    WarmUp(
+    public WarmUp(
             EventLoop loop,
-            NodeConfig targetConfig,
-            InetSocketAddress target,
-            String token,
+            WarmUpSender sender,
+            WarmUpRequestFactory requestFactory,
             int requestCount,
             long timeoutMs,
             Runnable whenDone) {
         this.loop = loop;
+        this.sender = sender;
+        this.requestFactory = requestFactory;
         this.requestCount = requestCount;
         this.whenDone = whenDone;
         deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-        requestFactory = new WarmUpRequestFactory(targetConfig.settings(), token);
-        sender = new ProxyNode(createSenderConfig(targetConfig, target), loop, NO_QUARANTINE_MS);
     }
 
-    /** Returns the configuration of a node whose only web server is the target. */
-    private static NodeConfig createSenderConfig(NodeConfig targetConfig, InetSocketAddress target) {
+    /**
+     * Returns the configuration of a node whose only web server is the target.
+     *
+     * @param targetConfig of the node to warm up
+     * @param target the address that it listens on for the warm-up
+     */
+    public static NodeConfig createSenderConfig(NodeConfig targetConfig, InetSocketAddress target) {
         List<String> zones = targetConfig.settings().zones();
         String zone = zones.isEmpty() ? "" : zones.get(0);
         EndpointList.Endpoint server = new EndpointList.Endpoint("self", target, zone, 0, ServerState.READY, 1, 0);
@@ -87,7 +90,7 @@
     }
 
     /** Starts the warm-up. */
-    void run() {
+    public void run() {
         sender.startForWarmUp();
         // Whatever goes wrong here must not keep the node from serving.
         loop.schedule(this::end, deadlineNs - System.nanoTime(), TimeUnit.NANOSECONDS);
--- a/node/src/main/java/tansypass/node/WarmUpRequestFactory.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUpRequestFactory.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.warmup;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,7 +10,7 @@
 import tansypass.node.frontend.HttpFrontend;
 
 /** Creates the requests of a warm-up, of each class in turn. Immutable. */
-final class WarmUpRequestFactory {
+public final class WarmUpRequestFactory {
     private static final int REMAINING_TIME_MS = 3_000;
     private static final String BODY = "body";
     private static final String LINE_END = "\r\n";
@@ -18,8 +18,12 @@
     private final BalancerSettings settings;
     private final String token;
 
-    /** Creates a factory for the classes and tenants of the settings. */
-    WarmUpRequestFactory(BalancerSettings settings, String token) {
+    /**
+     * Creates a factory for the classes and tenants of the settings.
+     *
+     * @param token by which the node that is warmed up recognises the requests
+     */
+    public WarmUpRequestFactory(BalancerSettings settings, String token) {
         this.settings = settings;
         this.token = token;
     }
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -27,6 +27,7 @@
 import tansypass.node.frontend.ClientConnection;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
+import tansypass.node.process.ProxyNode;
 
 /** The whole node between fake clients, servers and discovery. */
 @Timeout(120)
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.process.ProxyNode;
 
 /** A node running in the test's process on one event loop, which the test can block, and its clients. */
 final class RunningNode implements Closeable {
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -28,6 +28,7 @@
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
+import tansypass.node.process.ProxyNode;
 
 /** Two nodes on one address, of which the newer takes over from the older. */
 @Timeout(120)
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -18,6 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tansypass.node.discovery.EndpointList;
+import tansypass.node.process.ProxyNode;
+import tansypass.node.warmup.WarmUp;
+import tansypass.node.warmup.WarmUpRequestFactory;
 
 /** The warm-up that precedes readiness. */
 @Timeout(120)
@@ -35,9 +38,8 @@
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> new WarmUp(
                             loop,
-                            config,
-                            EndpointList.parseAddress(self.address()),
-                            "token",
+                            ProxyNode.newWarmUpSender(config, EndpointList.parseAddress(self.address()), loop),
+                            new WarmUpRequestFactory(config.settings(), "token"),
                             WarmUp.REQUESTS,
                             TimeUnit.SECONDS.toMillis(60),
                             ended::countDown)
@@ -69,9 +71,9 @@
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> new WarmUp(
                             loop,
-                            config,
-                            (InetSocketAddress) listener.getLocalSocketAddress(),
-                            "token",
+                            ProxyNode.newWarmUpSender(
+                                    config, (InetSocketAddress) listener.getLocalSocketAddress(), loop),
+                            new WarmUpRequestFactory(config.settings(), "token"),
                             WarmUp.REQUESTS,
                             1_500,
                             ended::countDown)
--- a/node/src/test/java/tansypass/node/BalancerExecutorTest.java
+++ b/node/src/test/java/tansypass/node/balancing/BalancerExecutorTest.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tansypass.node.EndpointTranslator;
 import tansypass.node.FakePeer;
 import tansypass.node.Fixture;
 import tansypass.node.TestEventLoopGroup;
+import tansypass.node.balancing.EndpointTranslator;
 
 /** The messages that a watch delivers and its failures, each of which is reported once. */
 @Timeout(120)
