--- a/cli/src/main/java/tansypass/cli/ConfigReloader.java
+++ b/cli/src/main/java/tansypass/cli/ConfigReloader.java
@@ -6,19 +6,23 @@
 import java.util.Objects;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile;
+import tansypass.node.configuration.ConfigSource;
+import tansypass.node.configuration.InvalidNodeConfigException;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.platform.NodeConfigJsonReader;
 
 /**
  * Reloads the configuration file of a running node: applies what may change, and logs what needs a restart.
  * Thread-safe.
  */
-final class ConfigReloader {
+final class ConfigReloader implements ConfigSource {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
 
     private final String file;
     private final Map<String, String> environment;
     private NodeFile current;
-    private boolean initialLoaded;
 
     /** Creates a reloader for a node that starts with the initial configuration. */
     ConfigReloader(String file, Map<String, String> environment, NodeFile initial) {
@@ -27,17 +31,16 @@
         current = initial;
     }
 
-    /**
-     * Returns the initial configuration at the first call, and reads the file at each later one.
-     *
-     * @throws tansypass.config.InvalidConfigException if the file is invalid; the previous configuration stays current
-     */
-    synchronized NodeFile load() {
-        if (!initialLoaded) {
-            initialLoaded = true;
-            return current;
-        }
-        NodeFile loaded = NodeFile.read(file, environment);
+    /** Returns the initial configuration, which has been read. */
+    @Override
+    public synchronized NodeConfig load() throws InvalidNodeConfigException {
+        return toNodeConfig(current);
+    }
+
+    /** Reads the file again; if it is invalid, the previous configuration stays current. */
+    @Override
+    public synchronized NodeConfig reload() throws InvalidNodeConfigException {
+        NodeFile loaded = readFile();
         List<String> keysNeedingRestart = findKeysNeedingRestart(current, loaded);
         if (!keysNeedingRestart.isEmpty()) {
             LOG.atWarn()
@@ -51,7 +54,19 @@
                 .addKeyValue("event", "reload.taken")
                 .addKeyValue("file", file)
                 .log("file read again");
-        return loaded;
+        return toNodeConfig(loaded);
+    }
+
+    private NodeFile readFile() throws InvalidNodeConfigException {
+        try {
+            return NodeFile.read(file, environment);
+        } catch (InvalidConfigException e) {
+            throw new InvalidNodeConfigException(e.getMessage(), e);
+        }
+    }
+
+    private static NodeConfig toNodeConfig(NodeFile file) throws InvalidNodeConfigException {
+        return NodeConfigJsonReader.read(PlatformJson.format(file), Map.of());
     }
 
     /** Returns the keys that differ and take effect only at the next start. */
--- a/cli/src/main/java/tansypass/cli/NodeCommand.java
+++ b/cli/src/main/java/tansypass/cli/NodeCommand.java
@@ -40,9 +40,7 @@
         ClusterMember member =
                 Membership.join(initial, Clock.offset(Clock.systemUTC(), Duration.ofMillis(clockOffsetMs)));
         tansypass.node.Main.serve(
-                () -> PlatformJson.format(reloader.load()),
-                new MetricsPage(member),
-                member == null ? null : new ClusterMemberAdapter(member));
+                reloader, new MetricsPage(member), member == null ? null : new ClusterMemberAdapter(member));
         return Exit.KEEP_RUNNING;
     }
 
--- a/node/src/main/java/tansypass/node/EndpointTranslator.java
+++ b/node/src/main/java/tansypass/node/EndpointTranslator.java
@@ -10,9 +10,10 @@
 import java.util.Map;
 import tansypass.balancer.ServerEntry;
 import tansypass.balancer.UpdateKind;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.discovery.EndpointWatch;
 import tansypass.node.discovery.ExponentialBackoff;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -2,11 +2,12 @@
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
+import tansypass.node.configuration.ConfigSource;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.platform.EnvironmentConfigSource;
 
 /** Entry points of a node: the platform's process, and the calls of the command line. */
 public final class Main {
@@ -24,31 +25,30 @@
             ClassArchiveTraining.run();
             return;
         }
-        NodeProcess.run(ConfigSource.ofEnvironment(System.getenv()), null, null);
+        NodeProcess.run(new EnvironmentConfigSource(System.getenv()), null, null);
     }
 
     /**
      * Serves until SIGTERM with a configuration from elsewhere. Returns before the node listens; ends the process with
      * one line on standard error if it can't start.
      *
-     * @param json returns the configuration in the platform's form, at the start and at each SIGHUP; throws
-     *     IllegalArgumentException with a message for the operator if there is no valid one
+     * @param source loads the configuration at the start, and again at each SIGHUP
      * @param metricsFormatter makes the admin page {@code /metrics} from the text of {@code /_vars}
      * @param cluster the cluster that the node is a member of, or null for none
      */
-    public static void serve(Supplier<String> json, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
-        NodeProcess.run(ConfigSource.ofJson(json), metricsFormatter, cluster);
+    public static void serve(ConfigSource source, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
+        NodeProcess.run(source, metricsFormatter, cluster);
     }
 
     /**
-     * Checks that a node could start with a configuration in the platform's form. Starts nothing.
+     * Checks that a node can be created with a configuration. Starts nothing.
      *
-     * @throws InvalidNodeConfigException if it could not
+     * @throws IllegalArgumentException if it can't
      */
-    public static void check(String json) {
+    public static void check(NodeConfig config) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
         try {
-            new ProxyNode(NodeConfig.parse(json, Map.of()), group.next()).close();
+            new ProxyNode(config, group.next()).close();
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
--- a/node/src/main/java/tansypass/node/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/NodeProcess.java
@@ -12,6 +12,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import tansypass.node.admin.AdminServer;
+import tansypass.node.configuration.ConfigSource;
+import tansypass.node.configuration.InvalidNodeConfigException;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.lifecycle.CeilingIoHandler;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
@@ -38,7 +41,7 @@
     private final ProxyNode node;
 
     /** Creates the node; throws InvalidNodeConfigException if the configuration is missing or invalid. */
-    private NodeProcess(ConfigSource source) {
+    private NodeProcess(ConfigSource source) throws InvalidNodeConfigException {
         this.source = source;
         group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
         loop = group.next();
--- a/node/src/main/java/tansypass/node/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/ProxyNode.java
@@ -16,6 +16,7 @@
 import tansypass.balancer.RequestClass;
 import tansypass.balancer.ServiceQLoadBalancer;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
@@ -54,11 +55,7 @@
     private final RequestDispatcher dispatcher;
     private final HttpFrontend frontend;
 
-    /**
-     * Creates a node that is not started; may be called from any thread.
-     *
-     * @throws InvalidNodeConfigException if the decision module rejects the settings
-     */
+    /** Creates a node that is not started; may be called from any thread. */
     public ProxyNode(NodeConfig config, EventLoop loop) {
         this(config, loop, UpstreamConnectionPool.QUARANTINE_MS);
     }
@@ -80,21 +77,11 @@
                 loop, descriptors, settings.connectTimeoutUs(), settings.connectionIdleUs(), quarantineMs);
         endpoints = new EndpointTranslator(config, loop, balancer, pool);
         dispatcher = new RequestDispatcher(balancer, pool, endpoints, metrics);
-        balancer.setBalancer(createBalancer());
+        balancer.setBalancer(new ServiceQLoadBalancer(settings, config.seed(), dispatcher));
         frontend = new HttpFrontend(
                 loop, descriptors, new ClientRequestParser(settings), lifecycle, metrics, dispatcher::accept);
     }
 
-    private LoadBalancer createBalancer() {
-        try {
-            return new ServiceQLoadBalancer(config.settings(), config.seed(), dispatcher);
-        } catch (IllegalArgumentException e) {
-            // Its timer would stay scheduled.
-            pool.close();
-            throw InvalidNodeConfigException.from(e);
-        }
-    }
-
     /**
      * Applies the configuration's endpoint list, warms up, and then listens on the clients' address.
      *
--- a/node/src/main/java/tansypass/node/WarmUp.java
+++ b/node/src/main/java/tansypass/node/WarmUp.java
@@ -7,7 +7,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.ServerState;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
 /**
--- a/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
+++ b/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
@@ -27,7 +27,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Objects;
 import java.util.concurrent.TimeUnit;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.http.ResponseDecoder;
+import tansypass.platform.EndpointListJsonReader;
+import tansypass.platform.MalformedEndpointListException;
 
 /**
  * The watch on the endpoint list: an HTTP request to the discovery agent whose response stays open and carries events.
@@ -239,14 +242,14 @@
                 if (!closed) {
                     handle(message);
                 }
-            } catch (IllegalArgumentException e) {
+            } catch (IllegalArgumentException | MalformedEndpointListException e) {
                 fail("malformed message: " + e.getMessage());
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private void handle(Object message) {
+        private void handle(Object message) throws MalformedEndpointListException {
             if (message instanceof HttpResponse head) {
                 if (head.decoderResult().isFailure() || !head.status().equals(HttpResponseStatus.OK)) {
                     fail("unexpected response status " + head.status());
@@ -268,7 +271,7 @@
         }
 
         /** Parses all complete messages and sets a time limit on the rest of an incomplete one. */
-        private void parseMessages(ByteBuf content) {
+        private void parseMessages(ByteBuf content) throws MalformedEndpointListException {
             received.writeBytes(content);
             boolean continuesMessage = framer.isInMessage();
             while (!closed && framer.findNext(received)) {
@@ -291,8 +294,8 @@
             }
         }
 
-        private void deliver(String json) {
-            EndpointList list = EndpointList.parse(json);
+        private void deliver(String json) throws MalformedEndpointListException {
+            EndpointList list = EndpointListJsonReader.read(json);
             revision = list.revision();
             listener.onEndpointList(list);
         }
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.http.ConnectionBufferLimits;
 import tansypass.node.http.ResponseDecoder;
 import tansypass.node.lifecycle.DescriptorLimiter;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
 import tansypass.balancer.ServerState;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.endpoint.EndpointList;
 
 /** One server of the pool: its address, its idle connections and the attempts that wait for one. */
 final class UpstreamServer {
--- /dev/null
+++ b/node/src/main/java/tansypass/platform/RequestClassKey.java
@@ -0,0 +1,34 @@
+package tansypass.platform;
+
+/**
+ * The keys of a request class on the platform's wire, each with the component of {@link
+ * tansypass.balancer.RequestClass} that it sets.
+ */
+enum RequestClassKey {
+    NAME("name", "name"),
+    LATENCY_OBJECTIVE("onTimeUs", "latencyObjectiveUs"),
+    OBJECTIVE_STRETCH("aimStretch", "objectiveStretch"),
+    DEADLINE("giveUpUs", "deadlineUs"),
+    PRIORITY_WEIGHT("importance", "priorityWeight"),
+    RESIDUAL_WEIGHT("lateWorth", "residualWeight"),
+    IDEMPOTENCY("repeat", "idempotency"),
+    DEDUPLICATION_SCOPE("group", "deduplicationScope"),
+    DEDUPLICATION_WINDOW("windowUs", "deduplicationWindowUs"),
+    STREAM("stream", "stream");
+
+    private final String wireName;
+    private final String component;
+
+    RequestClassKey(String wireName, String component) {
+        this.wireName = wireName;
+        this.component = component;
+    }
+
+    String wireName() {
+        return wireName;
+    }
+
+    String component() {
+        return component;
+    }
+}
--- a/node/src/main/java/tansypass/simulator/SimulatedInstance.java
+++ b/node/src/main/java/tansypass/simulator/SimulatedInstance.java
@@ -20,11 +20,7 @@
     private final Map<String, Integer> tenants;
     private final Map<String, Integer> zones;
 
-    /**
-     * Starts an instance that knows no servers.
-     *
-     * @throws IllegalArgumentException if the settings are out of range
-     */
+    /** Starts an instance that knows no servers. */
     SimulatedInstance(BalancerSettings settings, long seed, LoadBalancerActions actions) {
         classes = indexByName(settings.classes(), RequestClass::name);
         tenants = indexByName(settings.tenants(), Tenant::name);
--- a/node/src/main/java/tansypass/simulator/SimulatorConnection.java
+++ b/node/src/main/java/tansypass/simulator/SimulatorConnection.java
@@ -6,6 +6,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import tansypass.balancer.BalancerSettings;
+import tansypass.platform.HandshakeSettings;
+import tansypass.platform.InvalidValueException;
 
 /**
  * Connects the simulator to balancer instances: reads batches of events, calls the instances, and writes their actions
@@ -82,17 +84,13 @@
         for (int i = 0; i < line.fieldCount(); i++) {
             values.put(line.key(i), line.value(i));
         }
-        try {
-            instances.put(node, new SimulatedInstance(readSettings(values), seed, response));
-        } catch (IllegalArgumentException e) {
-            throw line.malformed("boot: " + e.getMessage());
-        }
+        instances.put(node, new SimulatedInstance(readSettings(values), seed, response));
     }
 
     private BalancerSettings readSettings(Map<String, String> values) throws ProtocolException {
         try {
-            return HandshakeMessage.read(values);
-        } catch (IllegalArgumentException e) {
+            return HandshakeSettings.read(values);
+        } catch (InvalidValueException e) {
             throw line.malformed("boot: field " + e.getMessage());
         }
     }
--- a/node/src/test/java/tansypass/node/ExternalNamesTest.java
+++ b/node/src/test/java/tansypass/node/ExternalNamesTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.admin.NodeMetrics;
-import tansypass.node.discovery.EndpointList;
 import tansypass.node.lifecycle.Lifecycle;
+import tansypass.platform.EndpointListJsonReader;
+import tansypass.platform.MalformedEndpointListException;
 
 /** External names, recorded before any rename: a change here breaks operators or the platform. */
 class ExternalNamesTest {
@@ -65,12 +66,12 @@
     }
 
     @Test
-    void endpointFieldsStayAsRecorded() {
+    void endpointFieldsStayAsRecorded() throws MalformedEndpointListException {
         for (Map.Entry<String, String> state : Map.of("Ready", "READY", "Terminating", "DRAINING", "Gone", "GONE")
                 .entrySet()) {
             assertEquals(
                     "7 false s-1 /127.0.0.1:80 b 4 " + state.getValue() + " 2.5 99",
-                    values(EndpointList.fromJson(list(state.getKey())).toString()));
+                    values(EndpointListJsonReader.read(list(state.getKey())).toString()));
         }
     }
 
@@ -87,7 +88,7 @@
     void aListWithoutARequiredKeyIsRejected(String key) {
         JsonObject list = list("Ready");
         list.remove(key);
-        assertThrows(IllegalArgumentException.class, () -> EndpointList.fromJson(list));
+        assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
 
     @ParameterizedTest
@@ -95,6 +96,6 @@
     void anEndpointWithoutARequiredKeyIsRejected(String key) {
         JsonObject list = list("Ready");
         list.getAsJsonArray("targets").get(0).getAsJsonObject().remove(key);
-        assertThrows(IllegalArgumentException.class, () -> EndpointList.fromJson(list));
+        assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
 }
--- a/node/src/test/java/tansypass/node/Fixture.java
+++ b/node/src/test/java/tansypass/node/Fixture.java
@@ -14,8 +14,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import tansypass.node.configuration.InvalidNodeConfigException;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.platform.EnvironmentConfigSource;
 
 /** Creates the configurations, requests, endpoint lists and connections that the tests use. */
 public final class Fixture {
@@ -114,6 +118,13 @@
         return Files.writeString(file, json.toString());
     }
 
+    /** Loads a configuration from a temporary file, as the platform's process does. */
+    static NodeConfig loadConfig(JsonObject json) throws IOException, InvalidNodeConfigException {
+        return new EnvironmentConfigSource(
+                        Map.of("LB_CONFIG", writeConfigFile(json).toString()))
+                .load();
+    }
+
     /** Formats a message of the watch: a complete list of endpoints if {@code all}, changes otherwise. */
     public static String formatEndpointList(long revision, boolean all, String state, FakePeer... servers) {
         StringBuilder targets = new StringBuilder();
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.lifecycle.CeilingIoHandler;
 
 /** A node running in the test's process on one event loop, which the test can block, and its clients. */
@@ -27,8 +28,7 @@
 
     RunningNode(JsonObject json) throws Exception {
         loop = group.next();
-        NodeConfig config = NodeConfig.read(
-                Map.of("LB_CONFIG", Fixture.writeConfigFile(json).toString()));
+        NodeConfig config = Fixture.loadConfig(json);
         node = loop.submit(() -> new ProxyNode(config, loop)).get();
         Channel channel = loop.submit(() -> node.start(group, 8)).get().sync().getNow();
         port = ((InetSocketAddress) channel.localAddress()).getPort();
--- a/node/src/test/java/tansypass/node/StalledWatchTest.java
+++ b/node/src/test/java/tansypass/node/StalledWatchTest.java
@@ -7,7 +7,6 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Future;
@@ -20,6 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
+import tansypass.node.configuration.NodeConfig;
 
 /**
  * A server starts draining while the watch is stalled: the node must know of it 6 s after the stall began, and
@@ -131,8 +131,7 @@
         node = new RunningNode(createConfig(discovery, true));
         discovery.nextRequest();
         JsonObject movedConfig = createConfig(otherDiscovery, true);
-        NodeConfig reloaded = NodeConfig.read(
-                Map.of("LB_CONFIG", Fixture.writeConfigFile(movedConfig).toString()));
+        NodeConfig reloaded = Fixture.loadConfig(movedConfig);
         node.loop.submit(() -> node.node.reload(reloaded)).get();
         assertTrue(isExcludedWithin(RELOAD_LIMIT_MS));
         assertDrainingServerGetsNoRequest();
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -25,12 +25,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.balancer.AttemptResult;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.http.ResponseBodySink;
 import tansypass.node.http.UpstreamResponse;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.upstream.AttemptHandler;
 import tansypass.node.upstream.UpstreamConnectionPool;
+import tansypass.platform.EndpointListJsonReader;
 
 /** Responses that are forwarded while they are received. */
 @Timeout(120)
@@ -322,7 +323,7 @@
                         60_000_000,
                         UpstreamConnectionPool.QUARANTINE_MS))
                 .get();
-        EndpointList list = EndpointList.parse(Fixture.formatEndpointList(1, true, "Ready", server));
+        EndpointList list = EndpointListJsonReader.read(Fixture.formatEndpointList(1, true, "Ready", server));
         node.loop.submit(() -> pool.update(list)).get();
         PausingSink sink = new PausingSink();
         node.loop.submit(() -> pool.startAttempt("s-" + server.port(), sink)).get();
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -15,7 +15,6 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -24,6 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
@@ -37,8 +37,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        config = NodeConfig.read(
-                Map.of("LB_CONFIG", Fixture.writeConfigFile(createConfig()).toString()));
+        config = Fixture.loadConfig(createConfig());
     }
 
     @AfterEach
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -17,7 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.platform.NodeConfigJsonReader;
+import tansypass.platform.SocketAddressParser;
 
 /** The warm-up that precedes readiness. */
 @Timeout(120)
@@ -31,12 +33,14 @@
         EventLoop loop = group.next();
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT);
                 FakePeer self = new FakePeer(FakePeer.respondWith("200 OK", "", "rehearsed"))) {
-            NodeConfig config = NodeConfig.parse(Fixture.createConfig(discovery).toString(), Map.of());
+            NodeConfig config =
+                    NodeConfigJsonReader.read(Fixture.createConfig(discovery).toString(), Map.of());
             CountDownLatch ended = new CountDownLatch(1);
+            InetSocketAddress target = SocketAddressParser.parse(self.address());
             loop.execute(() -> new WarmUp(
                             loop,
                             config,
-                            EndpointList.parseAddress(self.address()),
+                            target,
                             "token",
                             WarmUp.REQUESTS,
                             TimeUnit.SECONDS.toMillis(60),
@@ -65,7 +69,8 @@
                 filler.configureBlocking(false);
                 filler.connect(listener.getLocalSocketAddress());
             }
-            NodeConfig config = NodeConfig.parse(Fixture.createConfig(discovery).toString(), Map.of());
+            NodeConfig config =
+                    NodeConfigJsonReader.read(Fixture.createConfig(discovery).toString(), Map.of());
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> new WarmUp(
                             loop,
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -26,6 +26,8 @@
 import tansypass.node.FakePeer;
 import tansypass.node.Fixture;
 import tansypass.node.TestEventLoopGroup;
+import tansypass.node.endpoint.EndpointList;
+import tansypass.platform.EndpointListJsonReader;
 
 /** The messages that a watch delivers and its failures, each of which is reported once. */
 @Timeout(120)
@@ -84,8 +86,8 @@
             Fixture.writeWatchLine(socket, changes + "\n\n" + snapshot);
         });
         EndpointWatch watch = subscribe(20_000);
-        assertEquals(EndpointList.parse(changes), FakePeer.awaitNext(lists));
-        assertEquals(EndpointList.parse(snapshot), FakePeer.awaitNext(lists));
+        assertEquals(EndpointListJsonReader.read(changes), FakePeer.awaitNext(lists));
+        assertEquals(EndpointListJsonReader.read(snapshot), FakePeer.awaitNext(lists));
         peer.nextRequest();
         group.next().submit(watch::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "resumes after the latest revision");
@@ -176,8 +178,8 @@
             }
         });
         subscribe(20_000);
-        assertEquals(EndpointList.parse(list), FakePeer.awaitNext(lists));
-        assertEquals(EndpointList.parse(list), FakePeer.awaitNext(lists));
+        assertEquals(EndpointListJsonReader.read(list), FakePeer.awaitNext(lists));
+        assertEquals(EndpointListJsonReader.read(list), FakePeer.awaitNext(lists));
         assertTrue(failures.isEmpty());
     }
 
--- a/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
@@ -21,6 +21,7 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.node.FakePeer;
 import tansypass.node.Fixture;
+import tansypass.node.endpoint.EndpointList;
 
 /** The reuse of connections: idle, in quarantine, of moved and of draining servers. */
 @Timeout(120)
@@ -156,10 +157,11 @@
     void waitingAttemptIsNotSentToDrainingServer(String state) throws Exception {
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
         RecordingHandler waiting = new RecordingHandler(10);
+        EndpointList update = parseEndpoint(server.address(), state, 0);
         // In one iteration of the event loop: the update arrives while the connection is being established.
         loop.submit(() -> {
                     pool.startAttempt("s", waiting);
-                    pool.update(parseEndpoint(server.address(), state, 0));
+                    pool.update(update);
                 })
                 .get();
         assertEquals(AttemptResult.NOT_SENT, waiting.awaitReport().result());
--- a/node/src/test/java/tansypass/node/upstream/UpstreamTestBase.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamTestBase.java
@@ -19,9 +19,11 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.node.FakePeer;
 import tansypass.node.TestEventLoopGroup;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.endpoint.EndpointList;
 import tansypass.node.http.UpstreamResponse;
 import tansypass.node.lifecycle.DescriptorLimiter;
+import tansypass.platform.EndpointListJsonReader;
+import tansypass.platform.MalformedEndpointListException;
 
 /** A pool of connections to one scripted web server, with a recorder of how attempts end. */
 abstract class UpstreamTestBase {
@@ -97,8 +99,8 @@
         loop.submit(() -> pool.update(list)).get();
     }
 
-    static EndpointList parseEndpoint(String address, String state, long bootMs) {
-        return EndpointList.parse("{\"rev\":1,\"all\":true,"
+    static EndpointList parseEndpoint(String address, String state, long bootMs) throws MalformedEndpointListException {
+        return EndpointListJsonReader.read("{\"rev\":1,\"all\":true,"
                 + "\"targets\":[{\"uid\":\"s\",\"endpoint\":\"" + address
                 + "\",\"state\":\"" + state + "\",\"boot_ms\":" + bootMs + "}]}");
     }
--- a/node/src/test/java/tansypass/node/discovery/EndpointListTest.java
+++ b/node/src/test/java/tansypass/platform/EndpointListJsonReaderTest.java
@@ -1,4 +1,4 @@
-package tansypass.node.discovery;
+package tansypass.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import tansypass.balancer.ServerState;
+import tansypass.node.endpoint.EndpointList;
 
 /** Parsing of endpoint lists with duplicate entries and with many of them. */
-class EndpointListTest {
+class EndpointListJsonReaderTest {
     private static final Logger LOG = Logger.getLogger(EndpointList.class.getName());
     private final List<String> logged = new ArrayList<>();
     private final Handler logHandler = new Handler() {
@@ -47,12 +48,12 @@
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + port + "\",\"state\":\"" + state + "\"}";
     }
 
-    private static EndpointList parseList(String entries) {
-        return EndpointList.parse("{\"rev\":7,\"all\":true,\"targets\":[" + entries + "]}");
+    private static EndpointList parseList(String entries) throws MalformedEndpointListException {
+        return EndpointListJsonReader.read("{\"rev\":7,\"all\":true,\"targets\":[" + entries + "]}");
     }
 
     @Test
-    void theLastOfConflictingEntriesWinsAndIsLogged() {
+    void theLastOfConflictingEntriesWinsAndIsLogged() throws MalformedEndpointListException {
         EndpointList list =
                 parseList(entry("a", 1, "Ready") + "," + entry("b", 2, "Ready") + "," + entry("a", 3, "Terminating"));
         assertEquals(
@@ -64,7 +65,7 @@
     }
 
     @Test
-    void identicalDuplicateEntriesAreNotLogged() {
+    void identicalDuplicateEntriesAreNotLogged() throws MalformedEndpointListException {
         assertEquals(
                 1,
                 parseList(entry("a", 1, "Ready") + "," + entry("a", 1, "Ready"))
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void thousandsOfEntriesKeepTheirOrder() {
+    void thousandsOfEntriesKeepTheirOrder() throws MalformedEndpointListException {
         String entries = IntStream.range(0, 5_000)
                 .mapToObj(i -> entry("s" + i, 1 + i, "Ready"))
                 .collect(Collectors.joining(","));
--- /dev/null
+++ b/node/src/test/java/tansypass/platform/PlatformNamesTest.java
@@ -0,0 +1,63 @@
+package tansypass.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The platform's names are in the edge package and nowhere else; names that are the field's terms too are left out. */
+class PlatformNamesTest {
+    private static final Set<String> NAMES =
+            new TreeSet<>(List.of(("known targets uid az pod_group capacity_hint boot_ms Terminating "
+                            + "balancers myZone realms quotaPerS overShareWorth countedBy membershipMode on_request quantumUs "
+                            + "attemptsCap parallelTries cancelling retryAfter dialTimeoutUs connIdleUs "
+                            + "askWithinUs coldFrom coldUs overloadFactor fallUs crossZone "
+                            + "onTimeUs aimStretch giveUpUs importance lateWorth windowUs "
+                            + "concurrent depth load_share mean_ms tps err_ps")
+                    .split(" ")));
+    /** Part of a text: in quotes, of a path, or before an equals sign. */
+    private static final Pattern NAME_IN_TEXT =
+            Pattern.compile("(?<=[\"./ ])(" + String.join("|", NAMES) + ")(?=[\".=])");
+
+    private static final Pattern IGNORED =
+            Pattern.compile("/\\*.*?\\*/|//[^\n]*|^import .*?;", Pattern.DOTALL | Pattern.MULTILINE);
+    private static final Path MAIN_CODE = Path.of("src/main/java/tansypass");
+    private static final Path EDGE = MAIN_CODE.resolve("platform");
+
+    private static Set<String> findNames(Path file) throws IOException {
+        String code = IGNORED.matcher(Files.readString(file)).replaceAll("").replace("\\\"", "\"");
+        Matcher matcher = NAME_IN_TEXT.matcher(code);
+        return matcher.results().map(found -> found.group(1)).collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    private static List<Path> findSources(Path folder) throws IOException {
+        try (Stream<Path> files = Files.walk(folder)) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList();
+        }
+    }
+
+    @Test
+    void onlyTheEdgeSpellsNamesOfThePlatform() throws IOException {
+        Set<String> inEdge = new TreeSet<>();
+        Set<String> elsewhere = new TreeSet<>();
+        for (Path file : findSources(MAIN_CODE)) {
+            Set<String> names = findNames(file);
+            if (file.startsWith(EDGE)) {
+                inEdge.addAll(names);
+            } else {
+                names.forEach(name -> elsewhere.add(file + ": " + name));
+            }
+        }
+        assertEquals(NAMES, inEdge);
+        assertEquals(Set.of(), elsewhere);
+    }
+}
--- a/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
@@ -10,6 +10,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
+import tansypass.platform.HandshakeSettings;
+import tansypass.platform.InvalidValueException;
 
 /** The simulator's wire names, recorded before any rename: a change here breaks the simulator. */
 class SimulatorNamesTest {
@@ -97,7 +99,7 @@
     }
 
     @Test
-    void handshakePathsStayAsRecorded() {
+    void handshakePathsStayAsRecorded() throws InvalidValueException {
         RecordingMap values = new RecordingMap(Map.ofEntries(
                 Map.entry("classes.count", "1"),
                 Map.entry("classes.0.name", "view"),
@@ -109,7 +111,7 @@
                 Map.entry("realms.count", "1"),
                 Map.entry("realms.0.name", "acme"),
                 Map.entry("report.fields", "concurrent,depth,load_share,mean_ms,tps,err_ps")));
-        HandshakeMessage.read(values);
+        HandshakeSettings.read(values);
         assertEquals(HANDSHAKE_PATHS, String.join("\n", values.lookedUp) + "\n");
     }
 
