--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -15,11 +15,10 @@
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.RequestClass;
 import tansypass.balancer.ServiceQLoadBalancer;
-import tansypass.node.InvalidNodeConfigException;
-import tansypass.node.NodeConfig;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.balancing.EndpointTranslator;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
@@ -62,11 +61,7 @@
     private final RequestDispatcher dispatcher;
     private final HttpFrontend frontend;
 
-    /**
-     * Creates a node that is not started; may be called from any thread.
-     *
-     * @throws InvalidNodeConfigException if the decision module rejects the settings
-     */
+    /** Creates a node that is not started; may be called from any thread. */
     public ProxyNode(NodeConfig config, EventLoop loop) {
         this(config, loop, UpstreamConnectionPool.QUARANTINE_MS);
     }
@@ -88,7 +83,7 @@
                 loop, descriptors, settings.connectTimeoutUs(), settings.connectionIdleUs(), quarantineMs);
         endpoints = new EndpointTranslator(config, loop, balancer, pool);
         dispatcher = new RequestDispatcher(balancer, pool, endpoints, metrics);
-        balancer.setBalancer(createBalancer());
+        balancer.setBalancer(new ServiceQLoadBalancer(settings, config.seed(), dispatcher));
         frontend = new HttpFrontend(
                 loop, descriptors, new ClientRequestParser(settings), lifecycle, metrics, dispatcher::accept);
     }
@@ -103,16 +98,6 @@
         return new ProxyNode(WarmUp.createSenderConfig(targetConfig, target), loop, WarmUp.SENDER_QUARANTINE_MS);
     }
 
-    private LoadBalancer createBalancer() {
-        try {
-            return new ServiceQLoadBalancer(config.settings(), config.seed(), dispatcher);
-        } catch (IllegalArgumentException e) {
-            // Its timer would stay scheduled.
-            pool.close();
-            throw InvalidNodeConfigException.from(e);
-        }
-    }
-
     /**
      * Applies the configuration's endpoint list, warms up, and then listens on the clients' address.
      *
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -17,10 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tansypass.node.discovery.EndpointList;
+import tansypass.node.configuration.NodeConfig;
 import tansypass.node.process.ProxyNode;
 import tansypass.node.warmup.WarmUp;
 import tansypass.node.warmup.WarmUpRequestFactory;
+import tansypass.platform.NodeConfigJsonReader;
+import tansypass.platform.SocketAddressParser;
 
 /** The warm-up that precedes readiness. */
 @Timeout(120)
@@ -34,11 +36,13 @@
         EventLoop loop = group.next();
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT);
                 FakePeer self = new FakePeer(FakePeer.respondWith("200 OK", "", "rehearsed"))) {
-            NodeConfig config = NodeConfig.parse(Fixture.createConfig(discovery).toString(), Map.of());
+            NodeConfig config =
+                    NodeConfigJsonReader.read(Fixture.createConfig(discovery).toString(), Map.of());
             CountDownLatch ended = new CountDownLatch(1);
+            InetSocketAddress target = SocketAddressParser.parse(self.address());
             loop.execute(() -> new WarmUp(
                             loop,
-                            ProxyNode.newWarmUpSender(config, EndpointList.parseAddress(self.address()), loop),
+                            ProxyNode.newWarmUpSender(config, target, loop),
                             new WarmUpRequestFactory(config.settings(), "token"),
                             WarmUp.REQUESTS,
                             TimeUnit.SECONDS.toMillis(60),
@@ -67,7 +71,8 @@
                 filler.configureBlocking(false);
                 filler.connect(listener.getLocalSocketAddress());
             }
-            NodeConfig config = NodeConfig.parse(Fixture.createConfig(discovery).toString(), Map.of());
+            NodeConfig config =
+                    NodeConfigJsonReader.read(Fixture.createConfig(discovery).toString(), Map.of());
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> new WarmUp(
                             loop,
