--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -24,22 +24,22 @@
 
     private final BalancerSettings settings;
     private final ClusterSize clusterSize;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final RetryRules rules;
     private final ServerSelector selector;
     private final AttemptSender sender;
     private final PendingRequests requests;
     private final long expiryIntervalUs;
     private final TokenBucket[] quotas;
-    private final RunningMean meanPriorityWeight = new RunningMean(AnswerStatistics.MEAN_GAIN, 0);
-    private final PriorityList<PendingRequest> queue = new PriorityList<>(PendingRequest::priority);
+    private final RunningMean meanPriorityWeight = new RunningMean(ResponseStatistics.MEAN_GAIN, 0);
+    private final StablePriorityQueue<PendingRequest> queue = new StablePriorityQueue<>(PendingRequest::priority);
     private Availability availability = Availability.ANY;
     private boolean priorityLowered;
 
     AdmissionQueue(
             BalancerSettings settings,
             ClusterSize clusterSize,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             RetryRules rules,
             ServerSelector selector,
             AttemptSender sender,
--- a/node/src/main/java/tansypass/balancer/AttemptSender.java
+++ b/node/src/main/java/tansypass/balancer/AttemptSender.java
@@ -5,7 +5,7 @@
     private final LoadBalancerActions actions;
     private final EndpointTable servers;
     private final RetryRules rules;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final SlowStart slowStart;
     private final ClientThrottle throttle;
     private final ConnectionTracker connections;
@@ -14,7 +14,7 @@
             LoadBalancerActions actions,
             EndpointTable servers,
             RetryRules rules,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             SlowStart slowStart,
             ClientThrottle throttle,
             ConnectionTracker connections) {
--- a/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
+++ b/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
@@ -8,7 +8,7 @@
     /** Responses slower than this share of the latency objective are a sign of congestion. */
     private static final double CONGESTED_OBJECTIVE_SHARE = 0.35;
 
-    /** So are responses that take this many times the least mean latency of their class. */
+    /** So are responses that take this many times the minimum latency of their class. */
     static final double CONGESTED_LATENCY_MULTIPLE = 3;
 
     /** Growth of a server's limit over all nodes with each fast response. */
@@ -31,7 +31,7 @@
 
     private final ClusterSize clusterSize;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final SlowStart slowStart;
     private final ClientThrottle throttle;
     private final double increase;
@@ -41,7 +41,7 @@
             BalancerSettings settings,
             ClusterSize clusterSize,
             EndpointTable servers,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             SlowStart slowStart,
             ClientThrottle throttle) {
         this.clusterSize = clusterSize;
@@ -60,7 +60,7 @@
         double before = server.limit.value();
         double congestedUs = Math.min(
                 CONGESTED_OBJECTIVE_SHARE * pending.latencyObjectiveUs(),
-                CONGESTED_LATENCY_MULTIPLE * responses.leastLatencyUs(pending));
+                CONGESTED_LATENCY_MULTIPLE * responses.minLatencyUs(pending));
         if (latencyUs > congestedUs) {
             decrease(server, decrease, sentAtUs, nowUs);
         } else if (server.limit.wasReachedSince(sentAtUs) && mayIncrease(server, nowUs)) {
--- a/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
@@ -12,18 +12,22 @@
     private static final double MIN_SHARE = 0.2;
 
     private final BalancerSettings settings;
-    private final FrequentValue[] firstTryRemainingUs;
+    private final ModeEstimator[] firstTryRemainingUs;
 
     ElapsedTimeEstimator(BalancerSettings settings) {
         this.settings = settings;
-        firstTryRemainingUs = FrequentValue.array(settings.classes().size(), AnswerStatistics.MEAN_GAIN, MIN_SHARE);
+        firstTryRemainingUs = ModeEstimator.array(settings.classes().size(), ResponseStatistics.MEAN_GAIN, MIN_SHARE);
     }
 
     /** Records a request; returns the time since its client's first try, 0 if it is the first. */
     long recordRequest(BalancerRequest request) {
         long deadlineUs = settings.classes().get(request.classIndex()).deadlineUs();
         double toleranceUs = TOLERANCE * deadlineUs;
-        boolean firstTry = firstTryRemainingUs[request.classIndex()].recordAndTest(request.remainingUs(), toleranceUs);
-        return firstTry ? 0 : Math.max(0, deadlineUs - request.remainingUs());
+        ModeEstimator firstTries = firstTryRemainingUs[request.classIndex()];
+        firstTries.record(request.remainingUs(), toleranceUs);
+        if (firstTries.isMode(request.remainingUs(), toleranceUs)) {
+            return 0;
+        }
+        return Math.max(0, deadlineUs - request.remainingUs());
     }
 }
--- /dev/null
+++ b/node/src/main/java/tansypass/balancer/MeanWithDriftingMinimum.java
@@ -0,0 +1,50 @@
+package tansypass.balancer;
+
+import java.util.Arrays;
+
+/** A running mean and its minimum, which drifts upwards with each value so that it follows a change. */
+final class MeanWithDriftingMinimum {
+    private final RunningMean mean;
+    private final double drift;
+    private final int minCount;
+    private double minimum;
+
+    /**
+     * A mean of no values.
+     *
+     * @param gain smallest share of a new value in the mean, in (0, 1]
+     * @param drift factor by which the minimum grows with each value, 1 or more
+     * @param minCount number of values from which the mean counts for the minimum
+     */
+    MeanWithDriftingMinimum(double gain, double drift, int minCount) {
+        mean = new RunningMean(gain, 0);
+        this.drift = drift;
+        this.minCount = minCount;
+    }
+
+    /** Creates so many means with these parameters. */
+    static MeanWithDriftingMinimum[] array(int length, double gain, double drift, int minCount) {
+        MeanWithDriftingMinimum[] means = new MeanWithDriftingMinimum[length];
+        Arrays.setAll(means, i -> new MeanWithDriftingMinimum(gain, drift, minCount));
+        return means;
+    }
+
+    void add(double next) {
+        mean.add(next);
+        if (mean.count() < minCount) {
+            minimum = Double.MAX_VALUE;
+        } else {
+            minimum = Math.min(minimum * drift, mean.value());
+        }
+    }
+
+    /** The mean, 0 before the first value. */
+    double mean() {
+        return mean.value();
+    }
+
+    /** The minimum: 0 before the first value, then {@link Double#MAX_VALUE} until there are enough values. */
+    double minimum() {
+        return minimum;
+    }
+}
--- a/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
+++ b/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
@@ -2,7 +2,7 @@
 
 /** Records the outcomes of attempts: what each says about its server, and about all servers. */
 final class OutcomeRecorder {
-    /** A response within so many times its class's least mean latency is slow by its work and counts as in time. */
+    /** A response within so many times its class's minimum latency is slow by its work and counts as in time. */
     private static final double MAX_BEST_LATENCY_MULTIPLE = 1.5;
 
     private final EndpointTable servers;
@@ -12,7 +12,7 @@
     private final SlowStart slowStart;
     private final ConcurrencyLimiter limiter;
     private final ClientThrottle throttle;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final ConnectionTracker connections;
 
     OutcomeRecorder(
@@ -23,7 +23,7 @@
             SlowStart slowStart,
             ConcurrencyLimiter limiter,
             ClientThrottle throttle,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             ConnectionTracker connections) {
         this.servers = servers;
         this.weights = weights;
@@ -82,7 +82,7 @@
     }
 
     private double responseValue(PendingRequest pending, long latencyUs, long nowUs) {
-        boolean slowByItsWork = latencyUs < MAX_BEST_LATENCY_MULTIPLE * responses.leastLatencyUs(pending);
+        boolean slowByItsWork = latencyUs < MAX_BEST_LATENCY_MULTIPLE * responses.minLatencyUs(pending);
         boolean inTime = nowUs <= pending.objectiveAtUs() || slowByItsWork;
         return inTime ? 1 : pending.requestClass().residualWeight();
     }
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -23,7 +23,7 @@
     private final LoadBalancerActions actions;
     private final ClusterSize clusterSize;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final RelativeLatencies latencies;
     private final ServerAdmission admission;
     private final ServerSelector selector;
@@ -37,7 +37,7 @@
             LoadBalancerActions actions,
             ClusterSize clusterSize,
             EndpointTable servers,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             RelativeLatencies latencies,
             ServerAdmission admission,
             ServerSelector selector,
--- a/node/src/main/java/tansypass/balancer/RelativeLatencies.java
+++ b/node/src/main/java/tansypass/balancer/RelativeLatencies.java
@@ -19,14 +19,14 @@
 
     private final BalancerSettings settings;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final ConnectionTracker connections;
-    private final RunningMean probeLatencyUs = new RunningMean(AnswerStatistics.MEAN_GAIN, 0);
+    private final RunningMean probeLatencyUs = new RunningMean(ResponseStatistics.MEAN_GAIN, 0);
 
     RelativeLatencies(
             BalancerSettings settings,
             EndpointTable servers,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             ConnectionTracker connections) {
         this.settings = settings;
         this.servers = servers;
--- a/node/src/main/java/tansypass/balancer/AnswerStatistics.java
+++ b/node/src/main/java/tansypass/balancer/ResponseStatistics.java
@@ -1,28 +1,28 @@
 package tansypass.balancer;
 
 /** Statistics of the responses of all servers: latencies by class, the time between two, the share that is late. */
-final class AnswerStatistics {
+final class ResponseStatistics {
     /** Smallest share of a new value in a running mean: about the last 32 values count. */
     static final double MEAN_GAIN = 1.0 / 32;
 
     /** Time between two responses that a node assumes before its first one. */
     private static final double INITIAL_GAP_US = 1_000_000;
 
-    /** Factor by which a least latency grows with each response, so that it follows a change of the work. */
-    private static final double LEAST_LATENCY_DRIFT = 1.0001;
+    /** Factor by which a minimum latency grows with each response, so that it follows a change of the work. */
+    private static final double MIN_LATENCY_DRIFT = 1.0001;
 
-    /** The mean of fewer responses is chance and does not count as a least latency. */
+    /** The mean of fewer responses is chance and does not count as a minimum. */
     private static final int MIN_RESPONSES = 16;
 
     private final RunningMean gapUs = new RunningMean(MEAN_GAIN, INITIAL_GAP_US);
     private final RunningMean capacityGapUs = new RunningMean(MEAN_GAIN, 0);
     private final Ewma lateRatio = new Ewma(MEAN_GAIN, 0);
-    private final LeastTrackingMean[] latencyUs;
+    private final MeanWithDriftingMinimum[] latencyUs;
     private long lastResponseAtUs;
 
     /** Statistics without responses, for so many classes of requests. */
-    AnswerStatistics(int classes) {
-        latencyUs = LeastTrackingMean.array(classes, MEAN_GAIN, LEAST_LATENCY_DRIFT, MIN_RESPONSES);
+    ResponseStatistics(int classes) {
+        latencyUs = MeanWithDriftingMinimum.array(classes, MEAN_GAIN, MIN_LATENCY_DRIFT, MIN_RESPONSES);
     }
 
     /** Mean latency of the request's class, 0 before the first response. */
@@ -30,9 +30,9 @@
         return latencyUs[pending.classIndex()].mean();
     }
 
-    /** Least mean latency of the request's class, {@link Double#MAX_VALUE} until there are enough responses. */
-    double leastLatencyUs(PendingRequest pending) {
-        return latencyUs[pending.classIndex()].least();
+    /** Minimum of the mean latency of the request's class, {@link Double#MAX_VALUE} until there are enough responses. */
+    double minLatencyUs(PendingRequest pending) {
+        return latencyUs[pending.classIndex()].minimum();
     }
 
     /** Number of responses. */
--- a/node/src/main/java/tansypass/balancer/SlowStart.java
+++ b/node/src/main/java/tansypass/balancer/SlowStart.java
@@ -13,11 +13,11 @@
 
     private final BalancerSettings settings;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private double totalCapacity;
     private long totalCapacityAtUs;
 
-    SlowStart(BalancerSettings settings, EndpointTable servers, AnswerStatistics responses) {
+    SlowStart(BalancerSettings settings, EndpointTable servers, ResponseStatistics responses) {
         this.settings = settings;
         this.servers = servers;
         this.responses = responses;
--- a/node/src/main/java/tansypass/balancer/PriorityList.java
+++ b/node/src/main/java/tansypass/balancer/StablePriorityQueue.java
@@ -6,20 +6,20 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Items in order of priority, highest first, and in order of arrival among equals.
+ * A priority queue in a sorted list: highest priority first, and first come, first served among equals.
  *
  * @param <T> the items
  */
-final class PriorityList<T> {
+final class StablePriorityQueue<T> {
     private final ArrayList<T> items = new ArrayList<>();
     private final Comparator<T> order;
 
     /**
-     * An empty list.
+     * An empty queue.
      *
      * @param priority an item's priority; {@link #sort} is called after it has changed
      */
-    PriorityList(ToDoubleFunction<T> priority) {
+    StablePriorityQueue(ToDoubleFunction<T> priority) {
         order = Comparator.comparingDouble(item -> -priority.applyAsDouble(item));
     }
 
@@ -31,7 +31,7 @@
         return items.size();
     }
 
-    /** The item at an index from 0, which has the highest priority. */
+    /** The item at an index; the one at 0 has the highest priority. */
     T get(int index) {
         return items.get(index);
     }
@@ -45,11 +45,12 @@
         items.add(index, item);
     }
 
-    /** Tests each item once, in order, and removes those that pass; the test must not change the list. */
+    /** Removes the items that pass a test, which has no side effects. */
     void removeIf(Predicate<T> test) {
         items.removeIf(test);
     }
 
+    /** Restores the order after priorities have changed. */
     void sort() {
         items.sort(order);
     }
--- a/node/src/main/java/tansypass/balancer/ServiceQLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -4,10 +4,13 @@
 import java.util.SplittableRandom;
 
 /**
- * The load balancer after ServiceQ: hands each event to the parts that decide. Comments mark each departure from the
+ * Power of two choices, weighted by errors: of two servers that are drawn with weights that fall with their errors, a
+ * request goes to the one with fewer attempts in flight. This class hands each event to the parts that decide.
+ *
+ * <p>After "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark each departure from the
  * paper; docs/design.md explains them.
  */
-public final class ServiceQLoadBalancer implements LoadBalancer {
+public final class WeightedTwoChoicesLoadBalancer implements LoadBalancer {
     private final BalancerSettings settings;
     private final ClusterSize clusterSize;
     private final EndpointTable servers;
@@ -24,12 +27,16 @@
     private final ElapsedTimeEstimator elapsedTimes;
     private final WakeUpTimer timer;
 
-    /** A node that has just started. */
-    public ServiceQLoadBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
+    /**
+     * A load balancer without servers or requests.
+     *
+     * @param seed seed of all random draws
+     */
+    public WeightedTwoChoicesLoadBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
         this.settings = settings;
         SplittableRandom random = new SplittableRandom(seed);
         OperatorLog log = new OperatorLog(actions);
-        AnswerStatistics responses = new AnswerStatistics(settings.classes().size());
+        ResponseStatistics responses = new ResponseStatistics(settings.classes().size());
         ConnectionTracker connections = new ConnectionTracker(settings);
         ErrorWeights weights = new ErrorWeights();
         clusterSize = new ClusterSize(settings.nodes());
--- a/node/src/main/java/tansypass/node/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/ProxyNode.java
@@ -14,7 +14,7 @@
 import tansypass.balancer.BalancerSettings;
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.RequestClass;
-import tansypass.balancer.ServiceQLoadBalancer;
+import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
@@ -87,7 +87,7 @@
 
     private LoadBalancer createBalancer() {
         try {
-            return new ServiceQLoadBalancer(config.settings(), config.seed(), dispatcher);
+            return new WeightedTwoChoicesLoadBalancer(config.settings(), config.seed(), dispatcher);
         } catch (IllegalArgumentException e) {
             // Its timer would stay scheduled.
             pool.close();
--- a/node/src/main/java/tansypass/simulator/SimulatedInstance.java
+++ b/node/src/main/java/tansypass/simulator/SimulatedInstance.java
@@ -8,8 +8,8 @@
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.LoadBalancerActions;
 import tansypass.balancer.RequestClass;
-import tansypass.balancer.ServiceQLoadBalancer;
 import tansypass.balancer.Tenant;
+import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 
 /** The balancer of one simulated node, with the indexes of its settings' names. Not thread-safe. */
 final class SimulatedInstance {
@@ -29,7 +29,7 @@
         classes = indexByName(settings.classes(), RequestClass::name);
         tenants = indexByName(settings.tenants(), Tenant::name);
         zones = indexByName(settings.zones(), Function.identity());
-        balancer = new ServiceQLoadBalancer(settings, seed, actions);
+        balancer = new WeightedTwoChoicesLoadBalancer(settings, seed, actions);
     }
 
     private static <T> Map<String, Integer> indexByName(List<T> values, Function<T, String> nameOf) {
--- a/node/src/test/java/tansypass/balancer/BalancerHarness.java
+++ b/node/src/test/java/tansypass/balancer/BalancerHarness.java
@@ -42,7 +42,7 @@
 
     BalancerHarness(BalancerSettings settings, long seed) {
         this.settings = settings;
-        balancer = new ServiceQLoadBalancer(settings, seed, this);
+        balancer = new WeightedTwoChoicesLoadBalancer(settings, seed, this);
     }
 
     BalancerHarness() {
--- a/node/src/test/java/tansypass/balancer/DataStructuresTest.java
+++ b/node/src/test/java/tansypass/balancer/DataStructuresTest.java
@@ -11,9 +11,9 @@
 class DataStructuresTest {
     private static final double EXACT = 1e-12;
 
-    private static List<String> contents(PriorityList<String> list) {
+    private static List<String> contents(StablePriorityQueue<String> queue) {
         List<String> seen = new ArrayList<>();
-        list.removeIf(item -> {
+        queue.removeIf(item -> {
             seen.add(item);
             return false;
         });
@@ -21,22 +21,22 @@
     }
 
     @Test
-    void priorityListKeepsArrivalOrderAmongEquals() {
-        PriorityList<String> list = new PriorityList<>(String::length);
-        List.of("b", "cc", "a", "dd").forEach(list::add);
-        assertEquals(List.of("cc", "dd", "b", "a"), contents(list));
-        list.removeIf(item -> item.equals("dd"));
-        assertEquals(List.of("cc", "b", "a"), contents(list));
+    void priorityQueueKeepsArrivalOrderAmongEquals() {
+        StablePriorityQueue<String> queue = new StablePriorityQueue<>(String::length);
+        List.of("b", "cc", "a", "dd").forEach(queue::add);
+        assertEquals(List.of("cc", "dd", "b", "a"), contents(queue));
+        queue.removeIf(item -> item.equals("dd"));
+        assertEquals(List.of("cc", "b", "a"), contents(queue));
     }
 
     @Test
-    void priorityListSortsAfterPrioritiesHaveChanged() {
+    void priorityQueueSortsAfterPrioritiesHaveChanged() {
         List<String> lowered = new ArrayList<>();
-        PriorityList<String> list = new PriorityList<>(item -> lowered.contains(item) ? 0 : 1);
-        List.of("a", "b", "c").forEach(list::add);
+        StablePriorityQueue<String> queue = new StablePriorityQueue<>(item -> lowered.contains(item) ? 0 : 1);
+        List.of("a", "b", "c").forEach(queue::add);
         lowered.add("a");
-        list.sort();
-        assertEquals(List.of("b", "c", "a"), contents(list));
+        queue.sort();
+        assertEquals(List.of("b", "c", "a"), contents(queue));
     }
 
     @Test
@@ -69,16 +69,16 @@
     }
 
     @Test
-    void leastTrackingMeanKnowsNoLeastUntilThereAreEnoughValues() {
-        LeastTrackingMean mean = new LeastTrackingMean(0.5, 1.5, 2);
-        assertEquals(0, mean.least(), EXACT);
+    void meanHasNoMinimumUntilThereAreEnoughValues() {
+        MeanWithDriftingMinimum mean = new MeanWithDriftingMinimum(0.5, 1.5, 2);
+        assertEquals(0, mean.minimum(), EXACT);
         mean.add(4);
-        assertEquals(Double.MAX_VALUE, mean.least(), EXACT);
+        assertEquals(Double.MAX_VALUE, mean.minimum(), EXACT);
         mean.add(4);
-        assertEquals(4, mean.least(), EXACT);
+        assertEquals(4, mean.minimum(), EXACT);
         mean.add(20);
         assertEquals(12, mean.mean(), EXACT);
-        assertEquals(6, mean.least(), EXACT);
-        assertTrue(mean.least() < mean.mean());
+        assertEquals(6, mean.minimum(), EXACT);
+        assertTrue(mean.minimum() < mean.mean());
     }
 }
--- a/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
+++ b/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
@@ -165,7 +165,7 @@
             node.runRequest(BalancerHarness.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
             node.updateEndpoints(UpdateKind.DELTA, List.of(createServer("t" + i, 0, 0, ServerState.GONE)));
         }
-        assertEquals(1, ((ServiceQLoadBalancer) node.balancer).trackedServerCount());
+        assertEquals(1, ((WeightedTwoChoicesLoadBalancer) node.balancer).trackedServerCount());
     }
 
     @Test
--- a/node/src/test/java/tansypass/balancer/RandomEventDriver.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventDriver.java
@@ -55,7 +55,7 @@
         this.meanGapUs = meanGapUs;
         this.uploadShare = uploadShare;
         random = new SplittableRandom(seed);
-        balancer = new ServiceQLoadBalancer(settings, seed, this);
+        balancer = new WeightedTwoChoicesLoadBalancer(settings, seed, this);
     }
 
     /** Runs this many external events and all events that follow from them; returns the trace. */
--- a/node/src/test/java/tansypass/balancer/RandomEventsTest.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventsTest.java
@@ -70,7 +70,7 @@
         RuleChecker(long seed) {
             random = new SplittableRandom(seed);
             set = randomSettings(random);
-            balancer = new ServiceQLoadBalancer(set, seed, this);
+            balancer = new WeightedTwoChoicesLoadBalancer(set, seed, this);
         }
 
         private static BalancerSettings randomSettings(SplittableRandom random) {
--- a/node/src/test/java/tansypass/balancer/SettingsTest.java
+++ b/node/src/test/java/tansypass/balancer/SettingsTest.java
@@ -42,7 +42,7 @@
                         "view", 200_000, 0, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false))
                 .build();
         BalancerHarness actions = new BalancerHarness();
-        LoadBalancer balancer = new ServiceQLoadBalancer(settings, 42, actions);
+        LoadBalancer balancer = new WeightedTwoChoicesLoadBalancer(settings, 42, actions);
         balancer.onEndpointUpdate(
                 1_000, UpdateKind.CACHED, List.of(new ServerEntry("10.0.0.1:80", 0, 0, ServerState.READY, 1, 0)));
         balancer.onRequest(2_000, new BalancerRequest(1, 0, -1, 1_000_000, 0, false));
--- a/testbed/src/main/java/tansypass/testbed/simulation/NodeParts.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/NodeParts.java
@@ -3,7 +3,7 @@
 import tansypass.balancer.BalancerSettings;
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.LoadBalancerActions;
-import tansypass.balancer.ServiceQLoadBalancer;
+import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 import tansypass.cluster.membership.MembershipSettings;
 
 /** Makes the parts of a simulated node; a test replaces one by a faulty one. */
@@ -13,7 +13,7 @@
 
     /** Makes the balancer of a node. */
     default LoadBalancer balancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
-        return new ServiceQLoadBalancer(settings, seed, actions);
+        return new WeightedTwoChoicesLoadBalancer(settings, seed, actions);
     }
 
     /** Returns the settings of the nodes' membership protocol. */
