--- a/node/src/main/java/tansypass/balancer/EndpointTable.java
+++ b/node/src/main/java/tansypass/balancer/EndpointTable.java
@@ -11,7 +11,7 @@
 final class EndpointTable {
     private final ClusterSize clusterSize;
     private final SplittableRandom random;
-    private final OperatorLog log;
+    private final RateLimitedHealthNotifier notifier;
     private final Map<String, Server> byId = new HashMap<>();
     private final Set<Server> listed = new LinkedHashSet<>();
     private Server[] ready = new Server[0];
@@ -19,10 +19,10 @@
     private int inFlight;
     private double totalLimit;
 
-    EndpointTable(ClusterSize clusterSize, SplittableRandom random, OperatorLog log) {
+    EndpointTable(ClusterSize clusterSize, SplittableRandom random, RateLimitedHealthNotifier notifier) {
         this.clusterSize = clusterSize;
         this.random = random;
-        this.log = log;
+        this.notifier = notifier;
     }
 
     /** Takes over a change of the endpoint list. */
@@ -37,7 +37,7 @@
             ready[i].setPosition(i);
         }
         if (ready.length == 0) {
-            log.log(nowUs, "no server is ready, of " + listed.size() + " on the list");
+            notifier.notifyNoServerReady(listed.size(), nowUs);
         }
         // Servers come and go for as long as a node runs, so those that are gone and hold no request are removed.
         byId.values().removeIf(server -> server.isGone() && server.inFlight() == 0);
--- a/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
@@ -4,7 +4,7 @@
  * The actions that the load balancer asks of its node. They take effect in order, at the time of the event, and are called
  * on the thread of the event method. Times are microseconds of the caller's clock.
  */
-public interface LoadBalancerActions {
+public interface LoadBalancerActions extends ServerHealthListener {
     /**
      * Starts the next attempt of a request; attempts are numbered 0, 1, 2 and so on.
      *
@@ -36,7 +36,4 @@
 
     /** Subscribes to changes of the endpoint list. */
     void subscribe();
-
-    /** Writes a line to the operators' log. */
-    void log(String line);
 }
--- a/node/src/main/java/tansypass/balancer/OutlierEjection.java
+++ b/node/src/main/java/tansypass/balancer/OutlierEjection.java
@@ -17,19 +17,19 @@
     private final EndpointTable servers;
     private final ErrorWeights weights;
     private final SplittableRandom random;
-    private final OperatorLog log;
+    private final RateLimitedHealthNotifier notifier;
 
     OutlierEjection(
             ClusterSize clusterSize,
             EndpointTable servers,
             ErrorWeights weights,
             SplittableRandom random,
-            OperatorLog log) {
+            RateLimitedHealthNotifier notifier) {
         this.clusterSize = clusterSize;
         this.servers = servers;
         this.weights = weights;
         this.random = random;
-        this.log = log;
+        this.notifier = notifier;
     }
 
     /** Counts a failure that is a sign of a fault, not of overload; it may eject the server. */
@@ -40,7 +40,7 @@
         if (state.isEjected()) {
             eject(server, nowUs);
         } else if (state.failures() >= MIN_FAILURES && isEjectionAllowed()) {
-            log.log(nowUs, "ejected server " + server.id() + " after " + state.failures() + " failures");
+            notifier.notifyServerEjected(server.id(), state.failures(), nowUs);
             eject(server, nowUs);
         }
     }
@@ -62,7 +62,7 @@
         if (!state.isEjected()) {
             weights.clearErrors(server);
         } else if (state.halfOpenSuccesses() >= HALF_OPEN_SUCCESSES) {
-            log.log(nowUs, "restored server " + server.id());
+            notifier.notifyServerRestored(server.id(), nowUs);
             weights.clearErrors(server);
             server.resetHealth(clusterSize.nodes());
             servers.recountInUse();
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -35,7 +35,7 @@
     public WeightedTwoChoicesLoadBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
         this.settings = settings;
         SplittableRandom random = new SplittableRandom(seed);
-        OperatorLog log = new OperatorLog(actions);
+        RateLimitedHealthNotifier notifier = new RateLimitedHealthNotifier(actions);
         ResponseStatistics responses = new ResponseStatistics(settings.classes().size());
         ConnectionTracker connections = new ConnectionTracker(settings);
         ErrorWeights weights = new ErrorWeights();
@@ -45,10 +45,10 @@
         subscription = new EndpointSubscription(settings, actions, random);
         rules = new RetryRules(settings);
         throttle = new ClientThrottle();
-        servers = new EndpointTable(clusterSize, random, log);
+        servers = new EndpointTable(clusterSize, random, notifier);
         requests = new PendingRequests(settings, actions, rules);
         slowStart = new SlowStart(settings, servers, responses);
-        OutlierEjection ejection = new OutlierEjection(clusterSize, servers, weights, random, log);
+        OutlierEjection ejection = new OutlierEjection(clusterSize, servers, weights, random, notifier);
         RelativeLatencies latencies = new RelativeLatencies(settings, servers, responses, connections);
         ConcurrencyLimiter limiter =
                 new ConcurrencyLimiter(settings, clusterSize, servers, responses, slowStart, throttle);
--- a/node/src/main/java/tansypass/node/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/RequestDispatcher.java
@@ -7,6 +7,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.LoadBalancerActions;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.frontend.Exchange;
@@ -18,6 +19,7 @@
  */
 final class RequestDispatcher implements LoadBalancerActions {
     private static final Logger LOG = System.getLogger(RequestDispatcher.class.getName());
+    private static final Logger BALANCER_LOG = System.getLogger(LoadBalancer.class.getName());
 
     private final BalancerExecutor balancer;
     private final UpstreamConnectionPool pool;
@@ -128,7 +130,17 @@
     }
 
     @Override
-    public void log(String line) {
-        LOG.log(Level.INFO, line);
+    public void onNoServerReady(int listed) {
+        BALANCER_LOG.log(Level.INFO, "no server ready listed=" + listed);
+    }
+
+    @Override
+    public void onServerEjected(String serverId, int failures) {
+        BALANCER_LOG.log(Level.INFO, "server ejected server=" + serverId + " failures=" + failures);
+    }
+
+    @Override
+    public void onServerRestored(String serverId) {
+        BALANCER_LOG.log(Level.INFO, "server restored server=" + serverId);
     }
 }
--- a/node/src/main/java/tansypass/simulator/SimulatorResponse.java
+++ b/node/src/main/java/tansypass/simulator/SimulatorResponse.java
@@ -110,7 +110,22 @@
     }
 
     @Override
-    public void log(String line) {
+    public void onNoServerReady(int listed) {
+        log("no server is ready, of " + listed + " on the list");
+    }
+
+    @Override
+    public void onServerEjected(String serverId, int failures) {
+        log("ejected server " + serverId + " after " + failures + " failures");
+    }
+
+    @Override
+    public void onServerRestored(String serverId) {
+        log("restored server " + serverId);
+    }
+
+    /** Writes a line to the simulator's log. */
+    void log(String line) {
         beginLine("record");
         appendNote(line);
     }
--- a/node/src/test/java/tansypass/balancer/BalancerHarness.java
+++ b/node/src/test/java/tansypass/balancer/BalancerHarness.java
@@ -5,7 +5,7 @@
 import java.util.function.UnaryOperator;
 
 /** A balancer with a manual clock and a record of the actions it takes, for tests. */
-final class BalancerHarness implements LoadBalancerActions {
+final class BalancerHarness implements TextLogActions {
     static final int IDEMPOTENT = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
--- a/node/src/test/java/tansypass/balancer/RandomEventDriver.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventDriver.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 
 /** Drives a balancer with a seeded random sequence of events and records every action it takes as text. */
-final class RandomEventDriver implements LoadBalancerActions {
+final class RandomEventDriver implements TextLogActions {
     private static final int SERVERS = 9;
     private static final long PHASE_US = 2_000_000;
     /** Time after the last external event in which attempts in flight end. */
--- a/node/src/test/java/tansypass/balancer/RandomEventsTest.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventsTest.java
@@ -50,7 +50,7 @@
     }
 
     /** Acts as a node and fails the test on the first violation of a rule. */
-    private static final class RuleChecker implements LoadBalancerActions {
+    private static final class RuleChecker implements TextLogActions {
         final SplittableRandom random;
         final BalancerSettings set;
         final LoadBalancer balancer;
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
@@ -19,9 +19,6 @@
     /** A call of the balancer threw an exception, which a real node survives and never expects. */
     void moduleFailed(RuntimeException fault);
 
-    /** Logs a line of the balancer. */
-    void log(String line);
-
     /** Receives what comes back on a connection. */
     interface Callback {
         /** The operation has ended; {@code status} and {@code body} only count if the result is {@code OK}. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
@@ -202,7 +202,17 @@
     }
 
     @Override
-    public void log(String line) {
-        network.log(line);
+    public void onNoServerReady(int listed) {
+        // Runs on real processes keep the nodes' logs; a simulated node has none.
+    }
+
+    @Override
+    public void onServerEjected(String serverId, int failures) {
+        // As above.
+    }
+
+    @Override
+    public void onServerRestored(String serverId) {
+        // As above.
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -85,9 +85,4 @@
     public void moduleFailed(RuntimeException fault) {
         context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + fault);
     }
-
-    @Override
-    public void log(String line) {
-        // Runs on real processes keep the nodes' logs; a simulated one has none.
-    }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -33,9 +33,4 @@
     public void moduleFailed(RuntimeException fault) {
         delegate.moduleFailed(fault);
     }
-
-    @Override
-    public void log(String line) {
-        delegate.log(line);
-    }
 }
