--- a/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
@@ -1,10 +1,10 @@
 package tansypass.balancer;
 
 /**
- * What the module asks of its node. Calls take effect in order, at the time of the event, and come on the thread of
- * the event method. Times are microseconds of the caller's clock.
+ * The actions that the load balancer asks of its node. They take effect in order, at the time of the event, and are called
+ * on the thread of the event method. Times are microseconds of the caller's clock.
  */
-public interface LoadBalancerActions {
+public interface LoadBalancerActions extends ServerHealthListener {
     /**
      * Starts the next attempt of a request; attempts are numbered 0, 1, 2 and so on.
      *
@@ -19,13 +19,13 @@
     void cancel(long requestId, int attempt);
 
     /**
-     * Final answer: rejected; a retry by the client is harmless.
+     * Gives the final response: rejected; a retry by the client is harmless.
      *
      * @param retryAfterUs Retry-After, a length of time; 0 for none
      */
     void reject(long requestId, long retryAfterUs);
 
-    /** Final answer: failed; the request may have been executed. */
+    /** Gives the final response: failed; the request may have been executed. */
     void fail(long requestId);
 
     /** Asks for {@link LoadBalancer#onTimer} at this time or soon after; replaces a timer that is pending. */
@@ -36,7 +36,4 @@
 
     /** Subscribes to changes of the endpoint list. */
     void subscribe();
-
-    /** Writes a line to the operators' log. */
-    void log(String line);
 }
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -23,7 +23,7 @@
     private final LoadBalancerActions actions;
     private final ClusterSize clusterSize;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private final RelativeLatencies latencies;
     private final ServerAdmission admission;
     private final ServerSelector selector;
@@ -37,7 +37,7 @@
             LoadBalancerActions actions,
             ClusterSize clusterSize,
             EndpointTable servers,
-            AnswerStatistics responses,
+            ResponseStatistics responses,
             RelativeLatencies latencies,
             ServerAdmission admission,
             ServerSelector selector,
@@ -135,8 +135,8 @@
         }
     }
 
-    /** Dispatches the requests whose probes have not been answered in time. */
-    void dispatchUnanswered(long nowUs) {
+    /** Dispatches the requests whose probes have had no response in time. */
+    void dispatchExpired(long nowUs) {
         while (nextDeadlineAtUs() <= nowUs) {
             PendingRequest pending = waiting.poll();
             queue.dispatch(pending, nowUs);
--- a/node/src/main/java/tansypass/balancer/SlowStart.java
+++ b/node/src/main/java/tansypass/balancer/SlowStart.java
@@ -2,7 +2,7 @@
 
 /**
  * Departure from ServiceQ, slow start (rule 4): a server that is warming up gets a share of the requests by its present
- * capacity, measured by the rate of responses of all servers.
+ * capacity, relative to the rate of responses of all servers.
  */
 final class SlowStart {
     /** Part of the settings' overload window for which a budget may be saved up. */
@@ -13,11 +13,11 @@
 
     private final BalancerSettings settings;
     private final EndpointTable servers;
-    private final AnswerStatistics responses;
+    private final ResponseStatistics responses;
     private double totalCapacity;
     private long totalCapacityAtUs;
 
-    SlowStart(BalancerSettings settings, EndpointTable servers, AnswerStatistics responses) {
+    SlowStart(BalancerSettings settings, EndpointTable servers, ResponseStatistics responses) {
         this.settings = settings;
         this.servers = servers;
         this.responses = responses;
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -14,7 +14,7 @@
 import tansypass.balancer.BalancerSettings;
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.RequestClass;
-import tansypass.balancer.ServiceQLoadBalancer;
+import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.balancing.EndpointTranslator;
@@ -83,7 +83,7 @@
                 loop, descriptors, settings.connectTimeoutUs(), settings.connectionIdleUs(), quarantineMs);
         endpoints = new EndpointTranslator(config, loop, balancer, pool);
         dispatcher = new RequestDispatcher(balancer, pool, endpoints, metrics);
-        balancer.setBalancer(new ServiceQLoadBalancer(settings, config.seed(), dispatcher));
+        balancer.setBalancer(new WeightedTwoChoicesLoadBalancer(settings, config.seed(), dispatcher));
         frontend = new HttpFrontend(
                 loop, descriptors, new ClientRequestParser(settings), lifecycle, metrics, dispatcher::accept);
     }
--- a/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
+++ b/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
@@ -165,7 +165,7 @@
             node.runRequest(BalancerHarness.NON_IDEMPOTENT, AttemptResult.ERROR, 1_000);
             node.updateEndpoints(UpdateKind.DELTA, List.of(createServer("t" + i, 0, 0, ServerState.GONE)));
         }
-        assertEquals(1, ((ServiceQLoadBalancer) node.balancer).trackedServerCount());
+        assertEquals(1, ((WeightedTwoChoicesLoadBalancer) node.balancer).trackedServerCount());
     }
 
     @Test
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void resubscribesWhenSubscriptionIsNotAnswered() {
+    void resubscribesWithoutResponseToSubscription() {
         BalancerSettings.Builder set = BalancerHarness.createSettings();
         set.listPolling(true);
         BalancerHarness node = new BalancerHarness(set, 1).withServers(1);
--- a/node/src/test/java/tansypass/balancer/RandomEventDriver.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventDriver.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 
 /** Drives a balancer with a seeded random sequence of events and records every action it takes as text. */
-final class RandomEventDriver implements LoadBalancerActions {
+final class RandomEventDriver implements TextLogActions {
     private static final int SERVERS = 9;
     private static final long PHASE_US = 2_000_000;
     /** Time after the last external event in which attempts in flight end. */
@@ -55,7 +55,7 @@
         this.meanGapUs = meanGapUs;
         this.uploadShare = uploadShare;
         random = new SplittableRandom(seed);
-        balancer = new ServiceQLoadBalancer(settings, seed, this);
+        balancer = new WeightedTwoChoicesLoadBalancer(settings, seed, this);
     }
 
     /** Runs this many external events and all events that follow from them; returns the trace. */
--- a/node/src/test/java/tansypass/balancer/RandomEventsTest.java
+++ b/node/src/test/java/tansypass/balancer/RandomEventsTest.java
@@ -50,7 +50,7 @@
     }
 
     /** Acts as a node and fails the test on the first violation of a rule. */
-    private static final class RuleChecker implements LoadBalancerActions {
+    private static final class RuleChecker implements TextLogActions {
         final SplittableRandom random;
         final BalancerSettings set;
         final LoadBalancer balancer;
@@ -70,7 +70,7 @@
         RuleChecker(long seed) {
             random = new SplittableRandom(seed);
             set = randomSettings(random);
-            balancer = new ServiceQLoadBalancer(set, seed, this);
+            balancer = new WeightedTwoChoicesLoadBalancer(set, seed, this);
         }
 
         private static BalancerSettings randomSettings(SplittableRandom random) {
