--- a/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
@@ -28,11 +28,11 @@
     private boolean stopped;
     private long lastSequenceNumber;
 
-    ProtocolState(MembershipSettings settings, Identity self, Scheduler scheduler, UniformRandomProvider random) {
-        this.settings = settings;
-        this.self = self;
-        this.scheduler = scheduler;
-        this.random = random;
+    ProtocolState(MembershipEnvironment environment) {
+        settings = environment.settings();
+        self = environment.self();
+        scheduler = environment.scheduler();
+        random = environment.random();
         table = new MemberTable(settings.maxMembers());
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
@@ -3,7 +3,6 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Optional;
-import org.apache.commons.rng.UniformRandomProvider;
 import tansypass.cluster.membership.MembershipCounters.Name;
 import tansypass.cluster.membership.Message.Envelope;
 import tansypass.cluster.runtime.Scheduler;
@@ -15,7 +14,7 @@
  *
  * <p>It owns the state, routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
  * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}, {@link MemberTableUpdater}). Single-threaded: all
- * calls come from the loop of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers send.
+ * calls come from the thread of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers send.
  */
 public final class SwimProtocol implements Membership {
     private final ProtocolState state;
@@ -41,39 +40,23 @@
         }
     }
 
-    /**
-     * Creates a process that knows only itself and has not started.
-     *
-     * @param settings the protocol's periods, time-outs and limits
-     * @param self this process's identity
-     * @param seeds addresses to join through; this process's own may be among them and is ignored
-     * @param scheduler clock and timers; its thread makes all calls
-     * @param random for jitter and the choice of peers
-     * @param network sends datagrams and push-pull syncs; delivers its results on the scheduler's thread
-     * @param listener called on the scheduler's thread with each change of the view
-     */
-    public SwimProtocol(
-            MembershipSettings settings,
-            Identity self,
-            List<InetSocketAddress> seeds,
-            Scheduler scheduler,
-            UniformRandomProvider random,
-            Network network,
-            MemberListener listener) {
-        state = new ProtocolState(settings, self, scheduler, random);
+    /** Creates a process that knows only itself and has not started. */
+    public SwimProtocol(MembershipEnvironment environment) {
+        Network network = environment.network();
+        List<InetSocketAddress> seeds = environment.seeds();
+        state = new ProtocolState(environment);
         filter = new PeerFilter(state);
-        ProbeOrder probeOrder = new ProbeOrder(random);
+        ProbeOrder probeOrder = new ProbeOrder(environment.random());
         OutstandingProbes probes = new OutstandingProbes();
         MemberUpdates updates = new ForwardedUpdates();
-        List<InetSocketAddress> otherSeeds =
-                seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
         dissemination = new Dissemination(state, network, codec);
         detector = new FailureDetector(state, dissemination, probes, probeOrder, updates);
         SuspicionTracker suspicions = new SuspicionTracker(state, detector, updates);
-        antiEntropy = new AntiEntropy(state, network, codec, filter, otherSeeds, updates);
-        joining = new JoinProtocol(state, antiEntropy, otherSeeds);
+        antiEntropy = new AntiEntropy(state, network, codec, filter, seeds, updates);
+        joining = new JoinProtocol(state, antiEntropy, seeds);
         incarnations = new IncarnationGuard(state, dissemination, probes, updates);
-        tableUpdater = new MemberTableUpdater(state, dissemination, probeOrder, suspicions, incarnations, listener);
+        tableUpdater = new MemberTableUpdater(
+                state, dissemination, probeOrder, suspicions, incarnations, environment.listener());
     }
 
     /** Begins to join, probe, gossip and sync. */
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.MemberListener;
+import tansypass.cluster.membership.MembershipEnvironment;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.membership.MessageCodec;
@@ -54,14 +55,14 @@
             long seed,
             MemberListener listener) {
         this.listenAddress = listenAddress;
-        protocol = new SwimProtocol(
+        protocol = new SwimProtocol(new MembershipEnvironment(
                 settings,
                 self,
                 seeds,
                 new EventLoopScheduler(loop),
                 RandomStreams.of(seed, "membership"),
                 transport,
-                listener);
+                listener));
     }
 
     /**
--- a/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
@@ -15,6 +15,7 @@
 import tansypass.cluster.membership.Membership;
 import tansypass.cluster.membership.MembershipCounters;
 import tansypass.cluster.membership.MembershipCounters.Name;
+import tansypass.cluster.membership.MembershipEnvironment;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.membership.Message;
@@ -46,22 +47,15 @@
     private long version;
     private boolean isStopped;
 
-    /** Creates a member that has not started; {@code listener} receives changed entries. */
-    public HeartbeatProtocol(
-            MembershipSettings settings,
-            Identity self,
-            List<InetSocketAddress> seeds,
-            Scheduler scheduler,
-            UniformRandomProvider random,
-            Network network,
-            MemberListener listener) {
-        this.settings = settings;
-        this.self = self;
-        this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
-        this.scheduler = scheduler;
-        this.random = random;
-        this.network = network;
-        this.listener = listener;
+    /** Creates a member that has not started. */
+    public HeartbeatProtocol(MembershipEnvironment environment) {
+        settings = environment.settings();
+        self = environment.self();
+        seeds = environment.seeds();
+        scheduler = environment.scheduler();
+        random = environment.random();
+        network = environment.network();
+        listener = environment.listener();
         members.put(self.name(), new Member(self, MemberState.ALIVE, 0, ""));
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -9,6 +9,7 @@
 import tansypass.cluster.membership.Member;
 import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.Membership;
+import tansypass.cluster.membership.MembershipEnvironment;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.membership.MessageCodec;
@@ -95,8 +96,9 @@
         List<InetSocketAddress> seedAddresses =
                 seeds.stream().map(s -> members.get(s).address()).toList();
         MemberListener listener = new TracingListener(number);
-        member.setMembership(factory.create(
-                settings, identity, seedAddresses, member.process(), random, network.endpointOf(member), listener));
+        MembershipEnvironment environment = new MembershipEnvironment(
+                settings, identity, seedAddresses, member.process(), random, network.endpointOf(member), listener);
+        member.setMembership(factory.create(environment));
         member.membership().start();
     }
 
--- a/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
@@ -13,12 +13,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.apache.commons.rng.UniformRandomProvider;
 import org.junit.jupiter.api.Test;
 import tansypass.cluster.membership.Identity;
 import tansypass.cluster.membership.Member;
 import tansypass.cluster.membership.MemberListener;
 import tansypass.cluster.membership.MemberState;
+import tansypass.cluster.membership.MembershipEnvironment;
 import tansypass.cluster.membership.MembershipSettings;
 import tansypass.cluster.membership.Message;
 import tansypass.cluster.membership.MessageCodec;
@@ -154,23 +154,16 @@
         trace.update((nowUs + " " + event + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private SwimProtocol tracedProtocol(
-            MembershipSettings settings,
-            Identity self,
-            List<InetSocketAddress> seeds,
-            Scheduler scheduler,
-            UniformRandomProvider random,
-            Network network,
-            MemberListener listener) {
-        String who = self.name() + "/" + self.nonce();
-        return new SwimProtocol(
-                settings,
-                self,
-                seeds,
-                new TracedScheduler(who, scheduler),
-                random,
-                new TracedNetwork(who, network),
-                new TracedListener(who, listener));
+    private SwimProtocol tracedProtocol(MembershipEnvironment environment) {
+        String who = environment.self().name() + "/" + environment.self().nonce();
+        return new SwimProtocol(new MembershipEnvironment(
+                environment.settings(),
+                environment.self(),
+                environment.seeds(),
+                new TracedScheduler(who, environment.scheduler()),
+                environment.random(),
+                new TracedNetwork(who, environment.network()),
+                new TracedListener(who, environment.listener())));
     }
 
     private final class TracedListener implements MemberListener {
