--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.process.ClassArchiveTraining;
 import tansypass.node.process.ClusterView;
 import tansypass.node.process.NodeProcess;
@@ -50,7 +50,7 @@
      * @throws InvalidNodeConfigException if it could not
      */
     public static void check(String json) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         try {
             new ProxyNode(NodeConfig.parse(json, Map.of()), group.next()).close();
         } finally {
--- a/node/src/main/java/tansypass/node/balancing/EndpointTranslator.java
+++ b/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
@@ -20,11 +20,11 @@
  * Brings endpoint lists to the connection pool and, as {@link ServerEntry} values, to the decision module. It
  * owns the watch and the backoff between its retries. All methods are to be called on the event loop.
  */
-public final class EndpointTranslator implements EndpointWatch.Listener {
+public final class EndpointListAdapter implements EndpointWatch.Listener {
     /** Longest backoff before a broken watch is opened again, in milliseconds and before jitter. */
     public static final long MAX_BACKOFF_MS = 200;
 
-    private static final Logger LOG = System.getLogger(EndpointTranslator.class.getName());
+    private static final Logger LOG = System.getLogger(EndpointListAdapter.class.getName());
 
     /**
      * The first backoff, in milliseconds and before jitter. A change is in force as soon as the agent has it, whether
@@ -48,7 +48,7 @@
     private String lastFailure;
 
     /** Creates a translator that has applied no endpoint list and opened no watch. */
-    public EndpointTranslator(
+    public EndpointListAdapter(
             NodeConfig config, EventLoop loop, BalancerExecutor balancer, UpstreamConnectionPool pool) {
         this.config = config;
         this.balancer = balancer;
--- a/node/src/main/java/tansypass/node/discovery/JsonObjectFramer.java
+++ b/node/src/main/java/tansypass/node/discovery/JsonObjectFramer.java
@@ -22,9 +22,9 @@
      * the message, which the caller has to read.
      *
      * @return whether a line or a message was completed
-     * @throws IllegalArgumentException if a message does not start with a brace
+     * @throws MalformedWatchEventException if a message does not start with a brace
      */
-    boolean findNext(ByteBuf buffer) {
+    boolean findNext(ByteBuf buffer) throws MalformedWatchEventException {
         while (examinedBytes < buffer.readableBytes()) {
             byte b = buffer.getByte(buffer.readerIndex() + examinedBytes++);
             if (depth > 0) {
@@ -56,9 +56,9 @@
         return depth > 0;
     }
 
-    private void skipWhitespace(ByteBuf buffer, byte b) {
+    private void skipWhitespace(ByteBuf buffer, byte b) throws MalformedWatchEventException {
         if (b != ' ' && b != '\t' && b != '\r' && b != '\n') {
-            throw new IllegalArgumentException("expected a JSON object, found byte " + b);
+            throw new MalformedWatchEventException("expected a JSON object, found byte " + b);
         }
         buffer.skipBytes(examinedBytes);
         examinedBytes = 0;
--- a/node/src/main/java/tansypass/node/frontend/ClientConnection.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnection.java
@@ -11,14 +11,13 @@
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
-import java.util.concurrent.TimeUnit;
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.RequestDecoder;
-import tansypass.node.http.Responses;
+import tansypass.node.http.ResponseFactory;
 
 /**
  * A client's connection, which serves one request at a time. It connects the parts: {@link RequestReader},
- * {@link PipelinedInput} and {@link ResponseWriter}; and owns the channel and the request in flight. Used on the
+ * {@link PipelinedInput}, {@link ResponseWriter} and {@link ClientTimeouts}; and owns the channel and the request in flight. Used on the
  * event loop only.
  */
 public final class ClientConnection extends ChannelInboundHandlerAdapter {
@@ -26,22 +25,13 @@
 
     private static final int MAX_REQUEST_LINE_BYTES = 8_192;
     private static final int MAX_HEADER_BYTES = 16_384;
-    /**
-     * The time for the first request of a connection to arrive, and for a request to be received: a head may take
-     * 2 s, and a client that sends none has to get a response within 3 s. A body may take longer at a sufficient rate.
-     */
-    private static final long REQUEST_TIMEOUT_MS = 2_600;
-    /** How long a new connection is left open while the node is draining. */
-    private static final long FIRST_REQUEST_GRACE_MS = 400;
-    /** By then what a client sent when it connected has been read, unless the node is stalled. */
-    private static final long FIRST_READ_GRACE_MS = 50;
 
     private final HttpFrontend frontend;
     private final Channel channel;
     private final PipelinedInput pipelined;
     private final RequestReader reader;
     private final ResponseWriter writer;
-    private final RequestWait wait = new RequestWait();
+    private final ClientTimeouts timeouts;
     /** The request that the dispatcher has, which may still be being received; or null. */
     private Exchange inFlight;
 
@@ -52,6 +42,7 @@
         pipelined = new PipelinedInput(this, frontend.memoryLimiter());
         reader = new RequestReader(frontend, this, channel);
         writer = new ResponseWriter(this, channel);
+        timeouts = new ClientTimeouts(this, channel);
     }
 
     /** Adds the connection's handlers to its pipeline. */
@@ -78,6 +69,11 @@
         return reader;
     }
 
+    /** Returns what decides when the connection may be closed. */
+    ClientTimeouts timeouts() {
+        return timeouts;
+    }
+
     /** Returns whether the dispatcher has a request of this connection. */
     boolean hasRequestInFlight() {
         return inFlight != null;
@@ -93,57 +89,14 @@
         inFlight = null;
     }
 
-    /**
-     * Returns whether the connection can be closed to free capacity: no request is complete or in flight, no
-     * response is being written, and what the client may have sent along with the connection has been read.
-     */
-    boolean canBeReclaimed(long nowNs) {
-        return hasNoCompleteRequest()
-                && (wait.hasReceivedBytes()
-                        || wait.elapsedNs(nowNs) >= TimeUnit.MILLISECONDS.toNanos(FIRST_READ_GRACE_MS));
-    }
-
-    private boolean hasNoCompleteRequest() {
+    /** Returns whether no request is complete or in flight, and no response is being written. */
+    boolean hasNoCompleteRequest() {
         return inFlight == null
                 && (reader.incoming() == null || !reader.incoming().complete)
                 && !writer.hasUnwrittenResponse()
                 && pipelined.isEmpty();
     }
 
-    /** Returns by how many nanoseconds its request is later than it would be at the lowest accepted rate. */
-    long delayNs(long nowNs) {
-        if (!wait.isWaiting()) {
-            return 0;
-        }
-        long receivedBytes = reader.incoming() == null ? 0 : reader.incoming().receivedBytes;
-        return wait.elapsedNs(nowNs) - TimeUnit.SECONDS.toNanos(receivedBytes) / IncomingRequest.MIN_BYTES_PER_SECOND;
-    }
-
-    /** Returns whether its request has timed out and is not being received at a sufficient rate. */
-    boolean isOverdue(long nowNs) {
-        if (!wait.isWaiting()
-                || writer.isClosing()
-                || writer.hasUnwrittenResponse()
-                || hasToQueueInput()
-                || wait.elapsedNs(nowNs) < TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MS)) {
-            return false;
-        }
-        return reader.incoming() == null
-                || reader.incoming().isTooSlow(nowNs, channel.config().isAutoRead());
-    }
-
-    /** Returns whether nothing of a request has been received since the last response. */
-    boolean isIdle() {
-        return hasNoCompleteRequest() && reader.incoming() == null && !wait.hasReceivedBytes();
-    }
-
-    /** Returns whether it can be closed without losing a request, unless one is under way this moment. */
-    boolean canBeClosed(long nowNs) {
-        return isIdle()
-                && (!wait.isWaiting()
-                        || wait.elapsedNs(nowNs) >= TimeUnit.MILLISECONDS.toNanos(FIRST_REQUEST_GRACE_MS));
-    }
-
     /** Returns whether a complete request waits for its response. */
     private boolean isBusy() {
         return reader.incoming() == null ? inFlight != null : reader.incoming().complete;
@@ -176,12 +129,12 @@
 
     /** Counts bytes that have been received, of whichever request. */
     void onBytesReceived() {
-        wait.onBytesReceived();
+        timeouts.onBytesReceived();
     }
 
     /** Marks the awaited request as received. */
     void onRequestComplete() {
-        wait.end();
+        timeouts.onRequestComplete();
         frontend.markRecentlyUsed(this);
     }
 
@@ -189,7 +142,7 @@
     void onResponseSent() {
         inFlight = null;
         reader.clear();
-        wait.restart();
+        timeouts.onResponseSent();
     }
 
     /** Processes the input that waits, if any, in a turn of the event loop of its own. */
@@ -226,7 +179,7 @@
             return;
         }
         abandonRequest();
-        writer.sendFinalResponse(Responses.newBadRequest(e));
+        writer.sendFinalResponse(ResponseFactory.newBadRequest(e));
     }
 
     /** Gives up whatever has been received of a request, and its response. */
@@ -244,7 +197,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         frontend.addConnection(this);
-        wait.start();
+        timeouts.startWaiting();
     }
 
     @Override
--- a/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
@@ -82,9 +82,12 @@
         long nowNs = System.nanoTime();
         boolean closingIdle = isClosingIdle(nowNs);
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (connection.isOverdue(nowNs)) {
+            if (connection.timeouts().isOverdue(nowNs)) {
                 connection.reject(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request"));
-            } else if (closingIdle && (awaitingFirstRequests ? connection.canBeClosed(nowNs) : connection.isIdle())) {
+            } else if (closingIdle
+                    && (awaitingFirstRequests
+                            ? connection.timeouts().canBeClosed(nowNs)
+                            : connection.timeouts().isIdle())) {
                 connection.close();
             }
         }
@@ -112,12 +115,14 @@
         long nowNs = System.nanoTime();
         ClientConnection mostDelayed = null;
         for (ClientConnection connection : connections) {
-            if (connection.canBeClosed(nowNs)) {
+            if (connection.timeouts().canBeClosed(nowNs)) {
                 closeAndRemove(connection);
                 return true;
             }
-            if (connection.canBeReclaimed(nowNs)
-                    && (mostDelayed == null || connection.delayNs(nowNs) > mostDelayed.delayNs(nowNs))) {
+            if (connection.timeouts().canBeReclaimed(nowNs)
+                    && (mostDelayed == null
+                            || connection.timeouts().delayNs(nowNs)
+                                    > mostDelayed.timeouts().delayNs(nowNs))) {
                 mostDelayed = connection;
             }
         }
--- a/node/src/main/java/tansypass/node/frontend/Exchange.java
+++ b/node/src/main/java/tansypass/node/frontend/Exchange.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.http.ResponseBodySink;
-import tansypass.node.http.Responses;
+import tansypass.node.http.ResponseFactory;
 import tansypass.node.http.UpstreamResponse;
 
 /**
@@ -89,7 +89,7 @@
 
     /** Sends a server's complete response. */
     public void sendResponse(UpstreamResponse upstream) {
-        FullHttpResponse response = Responses.newResponse(HttpResponseStatus.OK, upstream.body());
+        FullHttpResponse response = ResponseFactory.newResponse(HttpResponseStatus.OK, upstream.body());
         if (upstream.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, upstream.contentType());
         }
@@ -162,7 +162,8 @@
      * @param retryAfterUs microseconds until it is best retried; 0 or less gives no advice
      */
     public void reject(long retryAfterUs) {
-        FullHttpResponse response = Responses.newText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
+        FullHttpResponse response =
+                ResponseFactory.newText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterUs));
         }
@@ -180,7 +181,7 @@
 
     /** Responds with an error that does not say whether the request was executed. */
     public void fail(HttpResponseStatus status, String reason) {
-        send(Responses.newText(status, reason));
+        send(ResponseFactory.newText(status, reason));
     }
 
     /** Ends the exchange because the client has disconnected or its request was rejected: nothing is sent. */
--- a/node/src/main/java/tansypass/node/frontend/LocalResponder.java
+++ b/node/src/main/java/tansypass/node/frontend/LocalResponder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import tansypass.node.http.BadRequestException;
-import tansypass.node.http.Responses;
+import tansypass.node.http.ResponseFactory;
 import tansypass.node.lifecycle.Lifecycle;
 
 /** Responds to the requests that are for the node itself: readiness checks and its warm-up. */
@@ -43,15 +43,18 @@
 
     /** Creates the response to a local request. */
     FullHttpResponse respond(HttpRequest head) {
-        return isReadinessCheck(head) ? reportReadiness(head) : Responses.newText(HttpResponseStatus.OK, "rehearsed");
+        return isReadinessCheck(head)
+                ? reportReadiness(head)
+                : ResponseFactory.newText(HttpResponseStatus.OK, "rehearsed");
     }
 
     private FullHttpResponse reportReadiness(HttpRequest head) {
         if (!head.method().equals(HttpMethod.GET)) {
-            return Responses.newBadRequest(new BadRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+            return ResponseFactory.newBadRequest(
+                    new BadRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
         Lifecycle.State state = lifecycle.state();
-        return Responses.newText(
+        return ResponseFactory.newText(
                 state == Lifecycle.State.TAKING ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 state.toString());
     }
--- a/node/src/main/java/tansypass/node/frontend/RequestReader.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestReader.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.RequestBody;
-import tansypass.node.http.Responses;
+import tansypass.node.http.ResponseFactory;
 
 /**
  * Reads a connection's requests from decoded messages, one at a time, and suspends reading while the window of a
@@ -88,7 +88,7 @@
                 incoming.exchange = frontend.createExchange(connection, head);
             }
             if (expectsContinue) {
-                channel.writeAndFlush(Responses.newEmpty(HttpResponseStatus.CONTINUE));
+                channel.writeAndFlush(ResponseFactory.newEmpty(HttpResponseStatus.CONTINUE));
             }
         } catch (BadRequestException e) {
             incoming.failure = e;
@@ -183,7 +183,7 @@
                 .writer()
                 .sendResponse(
                         completed.failure != null
-                                ? Responses.newBadRequest(completed.failure)
+                                ? ResponseFactory.newBadRequest(completed.failure)
                                 : frontend.localResponder().respond(completed.head),
                         HttpUtil.isKeepAlive(completed.head));
     }
--- a/node/src/main/java/tansypass/node/http/Responses.java
+++ b/node/src/main/java/tansypass/node/http/ResponseFactory.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Factory methods for complete responses. */
-public final class Responses {
-    private Responses() {}
+public final class ResponseFactory {
+    private ResponseFactory() {}
 
     /** Creates a response without a body and without a length. */
     public static FullHttpResponse newEmpty(HttpResponseStatus status) {
--- a/node/src/main/java/tansypass/node/http/ResponseReader.java
+++ b/node/src/main/java/tansypass/node/http/ResponseReader.java
@@ -107,7 +107,12 @@
         buffered = Unpooled.EMPTY_BUFFER;
     }
 
-    /** Returns the sink that it is streamed to, or null while it is buffered. */
+    /** Returns whether it is streamed to a sink rather than buffered. */
+    public boolean isStreaming() {
+        return sink != null;
+    }
+
+    /** Returns the sink that it is streamed to; null unless {@link #isStreaming}. */
     public ResponseBodySink sink() {
         return sink;
     }
--- a/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
+++ b/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
@@ -1,19 +1,16 @@
 package tansypass.node.lifecycle;
 
-import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoHandlerFactory;
-import io.netty.channel.IoRegistration;
 
 /** Reports the polls of an event loop to its {@link ArrivalEstimator}. Used on that loop's thread only. */
-final class PollTimingIoHandler implements IoHandler {
-    private final IoHandler delegate;
+final class PollTimingIoHandler extends ForwardingIoHandler {
     private final ArrivalEstimator estimator;
 
     /** Wraps a handler, which does the polling. */
     PollTimingIoHandler(IoHandler delegate, ArrivalEstimator estimator) {
-        this.delegate = delegate;
+        super(delegate);
         this.estimator = estimator;
     }
 
@@ -26,69 +23,36 @@
     @Override
     public int run(IoHandlerContext loop) {
         estimator.onPollStart();
-        return delegate.run(new TimingContext(loop, estimator));
+        return super.run(new TimingContext(loop, estimator));
     }
 
     @Override
     public void initialize() {
         estimator.bindToThread();
-        delegate.initialize();
+        super.initialize();
     }
 
-    @Override
-    public void prepareToDestroy() {
-        delegate.prepareToDestroy();
-    }
-
-    @Override
-    public void destroy() {
-        delegate.destroy();
-    }
-
-    @Override
-    public IoRegistration register(IoHandle handle) throws Exception {
-        return delegate.register(handle);
-    }
-
-    @Override
-    public void wakeup() {
-        delegate.wakeup();
-    }
+    /** Reports what the handler requests from the loop: the timeout of its poll, then what to do after the poll. */
+    private static final class TimingContext extends ForwardingContext {
+        private final ArrivalEstimator estimator;
 
-    @Override
-    public boolean isCompatible(Class<? extends IoHandle> type) {
-        return delegate.isCompatible(type);
-    }
-
-    /** The context of the loop, which sees what the handler asks: the timeout, then what to do after the poll. */
-    private record TimingContext(IoHandlerContext loop, ArrivalEstimator estimator) implements IoHandlerContext {
-        @Override
-        public boolean canBlock() {
-            return loop.canBlock();
+        TimingContext(IoHandlerContext loop, ArrivalEstimator estimator) {
+            super(loop);
+            this.estimator = estimator;
         }
 
         @Override
         public long delayNanos(long nowNs) {
-            long delayNs = loop.delayNanos(nowNs);
+            long delayNs = super.delayNanos(nowNs);
             estimator.onPollTimeout(delayNs);
             return delayNs;
         }
 
-        @Override
-        public long deadlineNanos() {
-            return loop.deadlineNanos();
-        }
-
-        @Override
-        public void reportActiveIoTime(long ns) {
-            loop.reportActiveIoTime(ns);
-        }
-
-        /** NioIoHandler asks this once in each run, between its poll and the processing of what that found. */
+        /** NioIoHandler calls this once in each run, between its poll and the processing of what that found. */
         @Override
         public boolean shouldReportActiveIoTime() {
             estimator.onPollEnd();
-            return loop.shouldReportActiveIoTime();
+            return super.shouldReportActiveIoTime();
         }
     }
 }
--- a/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import tansypass.node.ConfigSource;
 import tansypass.node.NodeConfig;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.lifecycle.OpenFileLimit;
 import tansypass.node.warmup.WarmUp;
 
@@ -30,7 +30,7 @@
     /** Starts the run; its event loop's thread is what keeps the process alive until the end. */
     public static void run() {
         loadStartClasses();
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         EventLoop loop = group.next();
         ProxyNode node = new ProxyNode(NodeConfig.parse(CONFIG, Map.of()), loop);
         loop.execute(() -> node.start(group, WarmUp.REQUESTS).addListener(started -> group.shutdownGracefully()));
@@ -42,7 +42,7 @@
                 NodeProcess.class,
                 ConfigSource.ofEnvironment(Map.of()).getClass(),
                 HangupSignal.class,
-                StandardError.class,
+                StandardErrorPrinter.class,
                 OpenFileLimit.class);
         for (Class<?> startClass : startClasses) {
             try {
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -15,7 +15,7 @@
 import tansypass.node.InvalidNodeConfigException;
 import tansypass.node.NodeConfig;
 import tansypass.node.admin.AdminServer;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
 import tansypass.node.lifecycle.OpenFileLimit;
@@ -44,7 +44,7 @@
     /** Creates the node; throws InvalidNodeConfigException if the configuration is missing or invalid. */
     private NodeProcess(ConfigSource source) {
         this.source = source;
-        group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         loop = group.next();
         config = source.load();
         node = new ProxyNode(config, loop);
@@ -109,7 +109,7 @@
     }
 
     private void startAdminServer(UnaryOperator<String> metricsFormatter) {
-        EventLoopGroup adminGroup = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        EventLoopGroup adminGroup = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         new AdminServer(node.metrics(), node.lifecycle(), ADMIN_CALL_TIMEOUT_MS, metricsFormatter)
                 .listen(adminGroup, config.admin())
                 .addListener(listening -> exitIfNotListening(listening, "for operators"));
@@ -127,7 +127,7 @@
             HangupSignal.setHandler(this::reload);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             // The node can serve, but a reload then ends it: operators have to know.
-            StandardError.print("SIGHUP can't be handled: " + e);
+            StandardErrorPrinter.print("SIGHUP can't be handled: " + e);
         }
     }
 
@@ -137,7 +137,7 @@
             NodeConfig changed = source.reload();
             loop.execute(() -> node.reload(changed));
         } catch (InvalidNodeConfigException e) {
-            StandardError.print("configuration not reloaded, the old one stays: " + e.getMessage());
+            StandardErrorPrinter.print("configuration not reloaded, the old one stays: " + e.getMessage());
         }
     }
 
@@ -155,7 +155,7 @@
 
     /** Ends the process at once: there is no request to respond to, and the shutdown hook would wait for the loop. */
     private static void exit(String reason, int code) {
-        StandardError.print(reason);
+        StandardErrorPrinter.print(reason);
         Runtime.getRuntime().halt(code);
     }
 }
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -19,7 +19,7 @@
 import tansypass.node.NodeConfig;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.balancing.BalancerExecutor;
-import tansypass.node.balancing.EndpointTranslator;
+import tansypass.node.balancing.EndpointListAdapter;
 import tansypass.node.frontend.ClientRequestParser;
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
@@ -58,7 +58,7 @@
     private final NodeMetrics metrics;
     private final BalancerExecutor balancer;
     private final UpstreamConnectionPool pool;
-    private final EndpointTranslator endpoints;
+    private final EndpointListAdapter endpoints;
     private final RequestDispatcher dispatcher;
     private final HttpFrontend frontend;
 
@@ -86,7 +86,7 @@
         DescriptorLimiter descriptors = new DescriptorLimiter(config.maxDescriptors());
         pool = new UpstreamConnectionPool(
                 loop, descriptors, settings.connectTimeoutUs(), settings.connectionIdleUs(), quarantineMs);
-        endpoints = new EndpointTranslator(config, loop, balancer, pool);
+        endpoints = new EndpointListAdapter(config, loop, balancer, pool);
         dispatcher = new RequestDispatcher(balancer, pool, endpoints, metrics);
         balancer.setBalancer(createBalancer());
         frontend = new HttpFrontend(
--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
 import tansypass.balancer.BalancerRequest;
 import tansypass.node.admin.NodeMetrics;
@@ -20,9 +19,9 @@
 
 /**
  * A client's request from its arrival until its response has been sent and none of its attempts is in flight. It
- * owns the timer of its deadline, and later that of its response. Used on the event loop only.
+ * owns the timer of its deadline, which {@link RelayDeadline} replaces once a response is being relayed. Used on the event loop only.
  */
-final class InFlightRequest implements RequestAttempt.Listener {
+final class InFlightRequest implements RequestAttempt.Listener, RelayDeadline.Listener {
     /** Is notified when a request is complete. */
     interface CompletionListener {
         /** Called when the request has ended and none of its attempts is in flight; may be called again. */
@@ -36,10 +35,6 @@
     private static final long DEADLINE_MARGIN_US = 25_000;
 
     private static final int DEADLINE_MARGIN_DIVISOR = 8;
-    /** A response past its deadline is still being received if some of it arrived within this time. */
-    private static final long RESPONSE_SILENCE_MS = 250;
-    /** The interval over which the rate of a long response is measured: as long as a server may pause in it. */
-    private static final long RESPONSE_RATE_WINDOW_MS = UpstreamConnectionPool.STALL_TIMEOUT_MS;
 
     private final Exchange exchange;
     private final long id;
@@ -53,8 +48,8 @@
     private ScheduledFuture<?> deadlineTimer;
     private int attemptsInFlight;
     private boolean ended;
-    /** Whether the response is still being relayed after the deadline. */
-    private boolean relayingPastDeadline;
+    /** Replaces the timer of the deadline once a response is being relayed; null before that. */
+    private RelayDeadline relayDeadline;
 
     /** Creates a request that the module does not know yet. */
     InFlightRequest(
@@ -215,42 +210,20 @@
     @Override
     public ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable) {
         ResponseBodySink sink = exchange.startResponse(contentType, length, whenWritable);
-        cancelDeadlineTimer();
-        // One that may still turn out to be short has to be complete by the deadline, like any short one.
-        deadlineTimer = balancer.scheduleAt(deadlineUs, this::enforceResponseDeadline);
+        cancelDeadlineTimers();
+        if (relayDeadline == null) {
+            relayDeadline = new RelayDeadline(exchange, balancer, this);
+        }
+        relayDeadline.start(deadlineUs);
         balancer.execute(this, b -> b.onResponseStarted(balancer.nowUs(), id, attempt));
         return sink;
     }
 
-    /**
-     * Called when a response that has started is incomplete at its deadline. It may continue if it is long, or may
-     * turn out to be, and its rate is sufficient: without a lowest rate it might never end.
-     */
-    private void enforceResponseDeadline() {
-        if (ended) {
-            return;
-        }
-        if (isResponseTooSlow()) {
-            exchange.abort();
-            end();
-            notifyClientDisconnect();
-            return;
-        }
-        if (!relayingPastDeadline) {
-            relayingPastDeadline = true;
-            exchange.startRateMeasurement();
-        }
-        deadlineTimer = balancer.scheduleIn(
-                exchange.isLongResponse() ? RESPONSE_RATE_WINDOW_MS : RESPONSE_SILENCE_MS,
-                this::enforceResponseDeadline);
-    }
-
-    private boolean isResponseTooSlow() {
-        if (relayingPastDeadline) {
-            return exchange.isResponseTooSlowOrTooLong();
-        }
-        return !exchange.isLongResponse()
-                && exchange.responseIdleNs() >= TimeUnit.MILLISECONDS.toNanos(RESPONSE_SILENCE_MS);
+    @Override
+    public void onResponseTooSlow() {
+        exchange.abort();
+        end();
+        notifyClientDisconnect();
     }
 
     /** Counts an attempt as ended, and ends the request if the attempt has brought its response. */
@@ -287,17 +260,20 @@
     /** Ends the request: it needs no response any more, and attempts that wait for a connection are not sent. */
     void end() {
         ended = true;
-        cancelDeadlineTimer();
+        cancelDeadlineTimers();
         for (RequestAttempt attempt : new ArrayList<>(attempts)) {
             attempt.abortIfWaiting();
         }
         removeIfComplete();
     }
 
-    private void cancelDeadlineTimer() {
+    private void cancelDeadlineTimers() {
         if (deadlineTimer != null) {
             deadlineTimer.cancel(false);
         }
+        if (relayDeadline != null) {
+            relayDeadline.cancel();
+        }
     }
 
     private void removeIfComplete() {
--- a/node/src/main/java/tansypass/node/request/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/request/RequestDispatcher.java
@@ -10,7 +10,7 @@
 import tansypass.balancer.LoadBalancerActions;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.balancing.BalancerExecutor;
-import tansypass.node.balancing.EndpointTranslator;
+import tansypass.node.balancing.EndpointListAdapter;
 import tansypass.node.frontend.Exchange;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
@@ -23,7 +23,7 @@
 
     private final BalancerExecutor balancer;
     private final UpstreamConnectionPool pool;
-    private final EndpointTranslator endpoints;
+    private final EndpointListAdapter endpoints;
     private final NodeMetrics metrics;
     private final Map<Long, InFlightRequest> requests = new HashMap<>();
     /** One for all requests, so that none allocates its own. */
@@ -31,7 +31,10 @@
 
     /** Creates a dispatcher without requests. */
     public RequestDispatcher(
-            BalancerExecutor balancer, UpstreamConnectionPool pool, EndpointTranslator endpoints, NodeMetrics metrics) {
+            BalancerExecutor balancer,
+            UpstreamConnectionPool pool,
+            EndpointListAdapter endpoints,
+            NodeMetrics metrics) {
         this.balancer = balancer;
         this.pool = pool;
         this.endpoints = endpoints;
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.process.ProxyNode;
 
 /** A node running in the test's process on one event loop, which the test can block, and its clients. */
@@ -23,7 +23,7 @@
     final EventLoop loop;
     final ProxyNode node;
     final int port;
-    private final EventLoopGroup group = new TestEventLoopGroup(CeilingIoHandler.newFactory());
+    private final EventLoopGroup group = new TestEventLoopGroup(DelayRoundingIoHandler.newFactory());
     private final List<Socket> clients = new ArrayList<>();
 
     RunningNode(JsonObject json) throws Exception {
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -32,7 +32,7 @@
 import tansypass.node.upstream.AttemptHandler;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
-/** Responses that are forwarded while they are received. */
+/** ResponseFactory that are forwarded while they are received. */
 @Timeout(120)
 class StreamedResponseTest extends RunningNodeTestBase {
     private static final int LENGTH = HttpStreams.LENGTH;
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -25,7 +25,7 @@
 import tansypass.node.FakePeer;
 import tansypass.node.Fixture;
 import tansypass.node.TestEventLoopGroup;
-import tansypass.node.balancing.EndpointTranslator;
+import tansypass.node.balancing.EndpointListAdapter;
 
 /** The messages that a watch delivers and its failures, each of which is reported once. */
 @Timeout(120)
@@ -234,7 +234,7 @@
     @Test
     void twoIdleWatchesAreReplacedBeforeAMissedDrainTakesEffect() {
         // A drain takes effect after 6 s; each idle watch may be followed by the longest retry delay.
-        assertTrue(2 * (EndpointWatch.IDLE_TIMEOUT_MS + EndpointTranslator.MAX_BACKOFF_MS * 3 / 2) < 6_000);
+        assertTrue(2 * (EndpointWatch.IDLE_TIMEOUT_MS + EndpointListAdapter.MAX_BACKOFF_MS * 3 / 2) < 6_000);
     }
 
     @Test
--- a/node/src/test/java/tansypass/node/lifecycle/ArrivalEstimatorTest.java
+++ b/node/src/test/java/tansypass/node/lifecycle/ArrivalEstimatorTest.java
@@ -2,10 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.netty.channel.IoHandle;
-import io.netty.channel.IoHandler;
 import io.netty.channel.IoHandlerContext;
-import io.netty.channel.IoRegistration;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,7 +14,7 @@
     private long nowMs = FIRST_POLL_END_MS;
 
     /** Polls for some time, like NioIoHandler: asks for the timeout, waits, and asks for the report. */
-    private final class WaitingIoHandler implements IoHandler {
+    private final class WaitingIoHandler extends StubIoHandler {
         private long waitMs;
 
         @Override
@@ -29,31 +26,6 @@
             loop.shouldReportActiveIoTime();
             return 0;
         }
-
-        @Override
-        public IoRegistration register(IoHandle handle) {
-            throw new IllegalStateException();
-        }
-
-        @Override
-        public void wakeup() {}
-
-        @Override
-        public boolean isCompatible(Class<? extends IoHandle> type) {
-            return false;
-        }
-    }
-
-    private record Loop(boolean canBlock, long delayNanos) implements IoHandlerContext {
-        @Override
-        public long delayNanos(long nowNs) {
-            return delayNanos;
-        }
-
-        @Override
-        public long deadlineNanos() {
-            return delayNanos;
-        }
     }
 
     /** One poll ends at 10 ms; then the loop has a turn, and polls again, blocking if it has a timeout. */
@@ -70,10 +42,10 @@
         ArrivalEstimator estimator = new ArrivalEstimator(() -> TimeUnit.MILLISECONDS.toNanos(nowMs));
         WaitingIoHandler delegate = new WaitingIoHandler();
         PollTimingIoHandler handler = new PollTimingIoHandler(delegate, estimator);
-        handler.run(new Loop(false, 0));
+        handler.run(new StubIoHandler.StubContext(false, 0));
         nowMs += turnMs;
         delegate.waitMs = pollMs;
-        handler.run(new Loop(timeoutMs >= 0, TimeUnit.MILLISECONDS.toNanos(timeoutMs)));
+        handler.run(new StubIoHandler.StubContext(timeoutMs >= 0, TimeUnit.MILLISECONDS.toNanos(timeoutMs)));
         nowMs += 5;
         assertEquals(expectedMs, TimeUnit.NANOSECONDS.toMillis(estimator.earliestNs()));
     }
--- a/node/src/test/java/tansypass/node/lifecycle/CeilingIoHandlerTest.java
+++ b/node/src/test/java/tansypass/node/lifecycle/DelayRoundingIoHandlerTest.java
@@ -6,11 +6,8 @@
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.IoHandle;
-import io.netty.channel.IoHandler;
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoHandlerFactory;
-import io.netty.channel.IoRegistration;
 import io.netty.channel.SelectStrategy;
 import io.netty.channel.nio.NioIoHandler;
 import java.nio.channels.spi.SelectorProvider;
@@ -25,11 +22,11 @@
 
 /** Rounding of the delay until an event loop's next timer. */
 @Timeout(60)
-class CeilingIoHandlerTest {
+class DelayRoundingIoHandlerTest {
     private static final int TIMERS = 40;
 
     /** Records the delay that the context reports. */
-    private static final class RecordingIoHandler implements IoHandler {
+    private static final class RecordingIoHandler extends StubIoHandler {
         private long delay;
 
         @Override
@@ -37,36 +34,6 @@
             delay = loop.delayNanos(0);
             return 0;
         }
-
-        @Override
-        public IoRegistration register(IoHandle handle) {
-            throw new IllegalStateException();
-        }
-
-        @Override
-        public void wakeup() {}
-
-        @Override
-        public boolean isCompatible(Class<? extends IoHandle> type) {
-            return false;
-        }
-    }
-
-    private record Loop(long delayNanos) implements IoHandlerContext {
-        @Override
-        public boolean canBlock() {
-            return true;
-        }
-
-        @Override
-        public long delayNanos(long nowNs) {
-            return delayNanos;
-        }
-
-        @Override
-        public long deadlineNanos() {
-            return delayNanos;
-        }
     }
 
     @ParameterizedTest
@@ -83,7 +50,7 @@
     })
     void theDelayIsRoundedUpToWholeMilliseconds(long delay, long expected) {
         RecordingIoHandler delegate = new RecordingIoHandler();
-        new CeilingIoHandler(delegate).run(new Loop(delay));
+        new DelayRoundingIoHandler(delegate).run(new StubIoHandler.StubContext(true, delay));
         assertEquals(expected, delegate.delay);
     }
 
@@ -95,7 +62,7 @@
             rounds.incrementAndGet();
             return usual.calculateStrategy(get, now);
         });
-        EventLoopGroup group = new TestEventLoopGroup(CeilingIoHandler.wrap(counting));
+        EventLoopGroup group = new TestEventLoopGroup(DelayRoundingIoHandler.wrap(counting));
         try {
             CountDownLatch left = new CountDownLatch(TIMERS);
             EventLoop loop = group.next();
