--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -6,7 +6,7 @@
 import java.util.function.UnaryOperator;
 import tansypass.node.configuration.ConfigSource;
 import tansypass.node.configuration.NodeConfig;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.process.ClassArchiveTraining;
 import tansypass.node.process.ClusterView;
 import tansypass.node.process.NodeProcess;
@@ -50,7 +50,7 @@
      * @throws IllegalArgumentException if it can't
      */
     public static void check(NodeConfig config) {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         try {
             new ProxyNode(config, group.next()).close();
         } finally {
--- a/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -4,7 +4,8 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.util.List;
-import tansypass.node.lifecycle.CeilingIoHandler;
+import java.util.Map;
+import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.lifecycle.OpenFileLimit;
 import tansypass.node.warmup.WarmUp;
 import tansypass.platform.EnvironmentConfigSource;
@@ -20,7 +21,7 @@
     /** Starts the run; its event loop's thread is what keeps the process alive until the end. */
     public static void run() {
         loadStartClasses();
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, CeilingIoHandler.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
         EventLoop loop = group.next();
         ProxyNode node = new ProxyNode(TrainingConfig.read(), loop);
         loop.execute(() -> node.start(group, WarmUp.REQUESTS).addListener(started -> group.shutdownGracefully()));
@@ -32,7 +33,7 @@
                 NodeProcess.class,
                 EnvironmentConfigSource.class,
                 HangupSignal.class,
-                StandardError.class,
+                StandardErrorPrinter.class,
                 OpenFileLimit.class);
         for (Class<?> startClass : startClasses) {
             try {
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -33,7 +33,7 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 import tansypass.platform.EndpointListJsonReader;
 
-/** Responses that are forwarded while they are received. */
+/** ResponseFactory that are forwarded while they are received. */
 @Timeout(120)
 class StreamedResponseTest extends RunningNodeTestBase {
     private static final int LENGTH = HttpStreams.LENGTH;
--- a/node/src/test/java/tansypass/node/BalancerLogTest.java
+++ b/node/src/test/java/tansypass/node/request/BalancerLogTest.java
@@ -1,4 +1,4 @@
-package tansypass.node;
+package tansypass.node.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
