--- a/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
+++ b/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
@@ -6,9 +6,6 @@
 import java.util.Objects;
 import java.util.concurrent.TimeUnit;
 import tansypass.node.endpoint.EndpointList;
-import tansypass.node.http.ResponseDecoder;
-import tansypass.platform.EndpointListJsonReader;
-import tansypass.platform.MalformedEndpointListException;
 
 /**
  * The watch on the endpoint list: decides when to subscribe to the discovery agent, from which revision on, and how
--- a/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -4,7 +4,6 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.util.List;
-import java.util.Map;
 import tansypass.node.lifecycle.DelayRoundingIoHandler;
 import tansypass.node.lifecycle.OpenFileLimit;
 import tansypass.node.warmup.WarmUp;
