--- a/config/src/test/java/tansypass/config/NodeFileTest.java
+++ b/config/src/test/java/tansypass/config/NodeFileTest.java
@@ -8,10 +8,13 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 class NodeFileTest {
     private static final String MINIMAL = """
@@ -111,6 +114,76 @@
                 errors(MINIMAL, Map.of("TANSYPASS_NODE_SOCKETS", "many")));
     }
 
+    /** The first value has the wrong type, the second is out of range; an empty one means that there is none. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "node.name | 7 | '-n'",
+                "node.listen | 7 | '1.2.3.4:70000'",
+                "node.admin | 7 | '1.2.3.256:1'",
+                "node.zone | 7 | 'elsewhere'",
+                "node.sockets | 'x' | 65",
+                "node.seed | 7 | '12345678901234567'",
+                "discovery.address | 7 | '1.2.3.4'",
+                "service.zones | 'a' | ['-']",
+                "service.nodes | 'x' | 0",
+                "service.attempts | 'x' | 0",
+                "service.second_copies | 1 |",
+                "service.cancel | 1 |",
+                "service.probes | 1 |",
+                "service.retry_after | 7 | '2000000s'",
+                "service.connect_timeout | 7 | '1us'",
+                "service.idle | 7 | '1us'",
+                "service.drain_grace | 7 | '25h'",
+                "service.cold_from | 'x' | 0",
+                "service.cold | 7 | '25h'",
+                "classes[0].name | 7 | '-'",
+                "classes[0].aim | 7 | '1us'",
+                "classes[0].deadline | 7 | '25h'",
+                "classes[0].repeat | 7 | 'never'",
+                "classes[0].group | 7 | 'house'",
+                "classes[0].worth | 'x' | -1",
+                "classes[0].late_worth | 'x' | 1.5",
+                "classes[0].window | 7 | '25h'",
+                "tenants[0].name | 7 | '-'",
+                "tenants[0].quota_per_s | 'x' | -1",
+                "servers[0].uid | 7 | '-'",
+                "servers[0].endpoint | 7 | 's:1'",
+                "servers[0].zone | 7 | 'elsewhere'",
+                "servers[0].cell | 'x' | -1",
+                "servers[0].weight | 'x' | 0"
+            })
+    void namesEachKeyWithInvalidValue(String key, String wrongType, String outOfRange) throws IOException {
+        for (String value : outOfRange == null ? List.of(wrongType) : List.of(wrongType, outOfRange)) {
+            List<String> errors = errors(fileWith(key, value.replace('\'', '"')), Map.of());
+            assertTrue(errors.stream().allMatch(error -> error.contains(": " + key + ": ")), errors.toString());
+        }
+    }
+
+    /** Returns a file with one table of each kind, in which a key has this value. */
+    private static String fileWith(String key, String value) {
+        String[] path = key.replace("[0]", "").split("\\.");
+        Map<String, Map<String, String>> tables = new LinkedHashMap<>();
+        tables.put("node", new LinkedHashMap<>(Map.of("listen", "\"127.0.0.1:8443\"")));
+        tables.put("discovery", new LinkedHashMap<>(Map.of("address", "\"127.0.0.1:8500\"")));
+        tables.put("service", new LinkedHashMap<>());
+        tables.put(
+                "classes",
+                new LinkedHashMap<>(Map.of("name", "\"search\"", "aim", "\"200ms\"", "deadline", "\"400ms\"")));
+        tables.put("tenants", new LinkedHashMap<>(Map.of("name", "\"acme\"")));
+        tables.put("servers", new LinkedHashMap<>(Map.of("uid", "\"s\"", "endpoint", "\"127.0.0.1:1\"")));
+        tables.get(path[0]).put(path[1], value);
+        StringBuilder text = new StringBuilder();
+        tables.forEach((table, values) -> {
+            boolean isList = List.of("classes", "tenants", "servers").contains(table);
+            text.append(isList ? "[[" + table + "]]\n" : "[" + table + "]\n");
+            values.forEach((name, set) -> text.append(name + " = " + set + "\n"));
+        });
+        return text.toString();
+    }
+
     @Test
     void reportsTomlSyntaxErrorWithLine() throws IOException {
         List<String> errors = errors(MINIMAL + "x y\n", Map.of());
--- a/node/src/main/java/tansypass/balancer/BalancerSettings.java
+++ b/node/src/main/java/tansypass/balancer/BalancerSettings.java
@@ -71,54 +71,79 @@
         tenants = List.copyOf(tenants);
         reportFields = List.copyOf(reportFields);
         require(!classes.isEmpty(), "classes", "is empty");
-        require(nodes >= 1, "nodes", "is under 1");
-        require(maxAttempts >= 1, "maxAttempts", "is under 1");
-        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "localZone", "is not among zones");
-        requireTime(tickUs, "tickUs");
-        requireTime(slowStartUs, "slowStartUs");
-        requireTime(overloadWindowUs, "overloadWindowUs");
-        requireTime(drainGraceUs, "drainGraceUs");
-        requireTime(connectTimeoutUs, "connectTimeoutUs");
-        requireTime(maxPollIntervalUs, "maxPollIntervalUs");
-        requireTime(connectionIdleUs, "connectionIdleUs");
-        requireTime(maxRetryAfterUs, "maxRetryAfterUs");
+        requireAtLeastOne(nodes, "nodes");
+        requireAtLeastOne(maxAttempts, "maxAttempts");
+        require(
+                localZone >= 0 && localZone < Math.max(1, zones.size()),
+                "localZone",
+                "is not an index into zones: " + localZone);
+        requireNotNegative(tickUs, "tickUs");
+        requireNotNegative(slowStartUs, "slowStartUs");
+        requireNotNegative(overloadWindowUs, "overloadWindowUs");
+        requireNotNegative(drainGraceUs, "drainGraceUs");
+        requireNotNegative(connectTimeoutUs, "connectTimeoutUs");
+        requireNotNegative(maxPollIntervalUs, "maxPollIntervalUs");
+        requireNotNegative(connectionIdleUs, "connectionIdleUs");
+        requireNotNegative(maxRetryAfterUs, "maxRetryAfterUs");
         requireNotNegative(overQuotaWeight, "overQuotaWeight");
         requireNotNegative(crossZonePrice, "crossZonePrice");
         requireNotNegative(probePrice, "probePrice");
-        require(slowStartCapacity > 0 && slowStartCapacity <= 1, "slowStartCapacity", "is not in (0, 1]");
-        require(overloadMultiple > 0, "overloadMultiple", "is not above 0");
-        for (RequestClass requestClass : classes) {
-            validate(requestClass);
+        require(
+                slowStartCapacity > 0 && slowStartCapacity <= 1,
+                "slowStartCapacity",
+                "is not in (0, 1]: " + slowStartCapacity);
+        require(overloadMultiple > 0, "overloadMultiple", "is not above 0: " + overloadMultiple);
+        for (int i = 0; i < classes.size(); i++) {
+            validateClass(i, classes.get(i));
         }
     }
 
-    private static void validate(RequestClass requestClass) {
-        String name = "class " + requestClass.name();
-        require(
-                requestClass.latencyObjectiveUs() >= 0
-                        && requestClass.deadlineUs() > 0
-                        && requestClass.deduplicationWindowUs() >= 0
-                        && requestClass.objectiveStretch() >= 0,
-                name,
-                "has a length of time out of range");
-        require(requestClass.priorityWeight() >= 0 && requestClass.residualWeight() >= 0, name, "has a negative worth");
-        require(
-                requestClass.idempotency() != Idempotency.KEYED || requestClass.deduplicationScope() != null,
-                name,
-                "has no group");
+    private static void validateClass(int index, RequestClass requestClass) {
+        requireNotNegativeInClass(requestClass.latencyObjectiveUs(), index, "latencyObjectiveUs");
+        requireNotNegativeInClass(requestClass.objectiveStretch(), index, "objectiveStretch");
+        requireNotNegativeInClass(requestClass.deduplicationWindowUs(), index, "deduplicationWindowUs");
+        requireNotNegativeInClass(requestClass.priorityWeight(), index, "priorityWeight");
+        requireNotNegativeInClass(requestClass.residualWeight(), index, "residualWeight");
+        if (requestClass.deadlineUs() <= 0) {
+            throw new InvalidSettingException(index, "deadlineUs", "is not above 0: " + requestClass.deadlineUs());
+        }
+        if (requestClass.idempotency() == Idempotency.KEYED && requestClass.deduplicationScope() == null) {
+            throw new InvalidSettingException(index, "deduplicationScope", "is missing");
+        }
+    }
+
+    private static void requireNotNegativeInClass(long value, int index, String component) {
+        if (value < 0) {
+            throw new InvalidSettingException(index, component, "is negative: " + value);
+        }
+    }
+
+    private static void requireNotNegativeInClass(double value, int index, String component) {
+        if (!isNotNegative(value)) {
+            throw new InvalidSettingException(index, component, "is negative: " + value);
+        }
+    }
+
+    private static void requireAtLeastOne(int value, String component) {
+        require(value >= 1, component, "is under 1: " + value);
+    }
+
+    private static void requireNotNegative(long value, String component) {
+        require(value >= 0, component, "is negative: " + value);
     }
 
-    private static void requireTime(long us, String setting) {
-        require(us >= 0, setting, "is negative");
+    private static void requireNotNegative(double value, String component) {
+        require(isNotNegative(value), component, "is negative: " + value);
     }
 
-    private static void requireNotNegative(double value, String setting) {
-        require(value >= 0, setting, "is negative");
+    /** Returns whether a value is 0 or more; NaN is not. */
+    private static boolean isNotNegative(double value) {
+        return value >= 0;
     }
 
-    private static void require(boolean holds, String setting, String problem) {
+    private static void require(boolean holds, String component, String problem) {
         if (!holds) {
-            throw new InvalidSettingException(setting, problem);
+            throw new InvalidSettingException(component, problem);
         }
     }
 
--- a/node/src/main/java/tansypass/balancer/InvalidSettingException.java
+++ b/node/src/main/java/tansypass/balancer/InvalidSettingException.java
@@ -1,30 +1,54 @@
 package tansypass.balancer;
 
+import java.util.OptionalInt;
+
 /** A balancer setting that is missing or out of range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
+    private static final int NO_CLASS = -1;
 
-    private final String setting;
+    private final int classIndex;
+    private final String component;
     private final String problem;
 
+    private InvalidSettingException(String path, int classIndex, String component, String problem) {
+        super(path + " " + problem);
+        this.classIndex = classIndex;
+        this.component = component;
+        this.problem = problem;
+    }
+
     /**
      * An exception whose message is the setting followed by the problem.
      *
-     * @param setting the setting, named as the component of {@link BalancerSettings}
-     * @param problem what is wrong with it, such as "is negative"
+     * @param component the setting, named as the component of {@link BalancerSettings}
+     * @param problem what is wrong with it, with its value, such as "is negative: -1"
      */
-    public InvalidSettingException(String setting, String problem) {
-        super(setting + " " + problem);
-        this.setting = setting;
-        this.problem = problem;
+    InvalidSettingException(String component, String problem) {
+        this(component, NO_CLASS, component, problem);
+    }
+
+    /**
+     * As above, for a setting of a request class.
+     *
+     * @param classIndex index of the class in {@link BalancerSettings#classes}
+     * @param component the setting, named as the component of {@link RequestClass}
+     */
+    InvalidSettingException(int classIndex, String component, String problem) {
+        this("classes[" + classIndex + "]." + component, classIndex, component, problem);
+    }
+
+    /** Returns the index of the request class whose setting it is; empty if it is none of a class. */
+    public OptionalInt classIndex() {
+        return classIndex == NO_CLASS ? OptionalInt.empty() : OptionalInt.of(classIndex);
     }
 
-    /** Returns the setting, named as the component of {@link BalancerSettings}. */
-    public String setting() {
-        return setting;
+    /** Returns the setting, named as the component of {@link BalancerSettings} or of {@link RequestClass}. */
+    public String component() {
+        return component;
     }
 
-    /** Returns what is wrong with it, such as "is negative". */
+    /** Returns what is wrong with it, with its value, such as "is negative: -1". */
     public String problem() {
         return problem;
     }
--- a/node/src/main/java/tansypass/platform/RequestClassKey.java
+++ b/node/src/main/java/tansypass/platform/RequestClassKey.java
@@ -24,11 +24,17 @@
         this.component = component;
     }
 
-    String wireName() {
-        return wireName;
+    /** Returns the key that sets a component; there is one for each. */
+    static RequestClassKey ofComponent(String component) {
+        for (RequestClassKey key : values()) {
+            if (key.component.equals(component)) {
+                return key;
+            }
+        }
+        throw new IllegalArgumentException("no key sets " + component);
     }
 
-    String component() {
-        return component;
+    String wireName() {
+        return wireName;
     }
 }
--- a/node/src/main/java/tansypass/platform/SettingKey.java
+++ b/node/src/main/java/tansypass/platform/SettingKey.java
@@ -43,6 +43,16 @@
         this.component = component;
     }
 
+    /** Returns the key that sets a component; there is one for each that can be out of range. */
+    static SettingKey ofComponent(String component) {
+        for (SettingKey key : values()) {
+            if (key.component.equals(component)) {
+                return key;
+            }
+        }
+        throw new IllegalArgumentException("no key sets " + component);
+    }
+
     /** Returns the name of the object that the key is in; empty for the outermost one. */
     String section() {
         return section;
@@ -51,8 +61,4 @@
     String wireName() {
         return wireName;
     }
-
-    String component() {
-        return component;
-    }
 }
--- a/node/src/main/java/tansypass/platform/SettingsReader.java
+++ b/node/src/main/java/tansypass/platform/SettingsReader.java
@@ -168,12 +168,14 @@
 
     /** Returns the path of the key that sets a component of the balancer's settings. */
     private String wirePath(InvalidSettingException invalid) {
-        for (SettingKey key : SettingKey.values()) {
-            if (key.component().equals(invalid.setting())) {
-                return sectionOf(key).path(key.wireName());
-            }
+        if (invalid.classIndex().isPresent()) {
+            SettingsObject requestClass = root.item(
+                    SettingKey.CLASSES.wireName(), invalid.classIndex().getAsInt());
+            return requestClass.path(
+                    RequestClassKey.ofComponent(invalid.component()).wireName());
         }
-        return invalid.setting();
+        SettingKey key = SettingKey.ofComponent(invalid.component());
+        return sectionOf(key).path(key.wireName());
     }
 
     private SettingsObject sectionOf(SettingKey key) {
--- a/node/src/test/java/tansypass/balancer/SettingsTest.java
+++ b/node/src/test/java/tansypass/balancer/SettingsTest.java
@@ -11,10 +11,13 @@
 
 /** Validation of settings, and the embedding example of the README. */
 class SettingsTest {
+    private static final RequestClass CLASS_WITHOUT_DEADLINE =
+            new RequestClass("none", 0, 0, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
 
     @Test
     void rejectsSettingOutOfRangeByName() {
         Map<String, Consumer<BalancerSettings.Builder>> wrong = Map.of(
+                "classes[5].deadlineUs", s -> s.addClass(CLASS_WITHOUT_DEADLINE),
                 "nodes", s -> s.nodes(0),
                 "maxAttempts", s -> s.maxAttempts(0),
                 "classes", s -> s.classes(List.of()),
@@ -27,8 +30,8 @@
         wrong.forEach((field, change) -> {
             BalancerSettings.Builder set = BalancerHarness.createSettings();
             change.accept(set);
-            IllegalArgumentException thrown =
-                    assertThrows(IllegalArgumentException.class, () -> new BalancerHarness(set, 1));
+            InvalidSettingException thrown =
+                    assertThrows(InvalidSettingException.class, () -> new BalancerHarness(set, 1));
             assertTrue(thrown.getMessage().startsWith(field), thrown.getMessage());
         });
     }
