--- a/cli/src/main/java/tansypass/cli/CheckCommand.java
+++ b/cli/src/main/java/tansypass/cli/CheckCommand.java
@@ -1,7 +1,6 @@
 package tansypass.cli;
 
 import java.io.PrintWriter;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -10,8 +9,6 @@
 import tansypass.config.ConfigError;
 import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile;
-import tansypass.node.configuration.InvalidNodeConfigException;
-import tansypass.platform.NodeConfigJsonReader;
 
 /** Validates a node's configuration file and prints all its errors. */
 @Command(
@@ -31,8 +28,7 @@
         PrintWriter out = spec.commandLine().getOut();
         try {
             NodeFile node = NodeFile.read(file, System.getenv());
-            // The balancer checks combinations of settings.
-            tansypass.node.Main.check(NodeConfigJsonReader.read(PlatformJson.format(node), Map.of()));
+            tansypass.node.Main.check(NodeFileConverter.toNodeConfig(node));
             out.println(file + ": fit for use");
             return Exit.OK;
         } catch (InvalidConfigException e) {
@@ -41,9 +37,6 @@
             }
             // Scripts read the summary, so it keeps the word "fault".
             out.println(e.errors().size() + (e.errors().size() == 1 ? " fault" : " faults"));
-        } catch (InvalidNodeConfigException e) {
-            out.println(new ConfigError(file, 0, "", e.getMessage()));
-            out.println("1 fault");
         }
         return Exit.INVALID_INPUT;
     }
--- a/cli/src/main/java/tansypass/cli/ConfigReloader.java
+++ b/cli/src/main/java/tansypass/cli/ConfigReloader.java
@@ -11,7 +11,6 @@
 import tansypass.node.configuration.ConfigSource;
 import tansypass.node.configuration.InvalidNodeConfigException;
 import tansypass.node.configuration.NodeConfig;
-import tansypass.platform.NodeConfigJsonReader;
 
 /**
  * Reloads the configuration file of a running node: applies what may change, and logs what needs a restart.
@@ -33,8 +32,8 @@
 
     /** Returns the initial configuration, which has been read. */
     @Override
-    public synchronized NodeConfig load() throws InvalidNodeConfigException {
-        return toNodeConfig(current);
+    public synchronized NodeConfig load() {
+        return NodeFileConverter.toNodeConfig(current);
     }
 
     /** Reads the file again; if it is invalid, the previous configuration stays current. */
@@ -54,7 +53,7 @@
                 .addKeyValue("event", "reload.taken")
                 .addKeyValue("file", file)
                 .log("file read again");
-        return toNodeConfig(loaded);
+        return NodeFileConverter.toNodeConfig(loaded);
     }
 
     private NodeFile readFile() throws InvalidNodeConfigException {
@@ -65,10 +64,6 @@
         }
     }
 
-    private static NodeConfig toNodeConfig(NodeFile file) throws InvalidNodeConfigException {
-        return NodeConfigJsonReader.read(PlatformJson.format(file), Map.of());
-    }
-
     /** Returns the keys that differ and take effect only at the next start. */
     static List<String> findKeysNeedingRestart(NodeFile old, NodeFile changed) {
         List<String> keys = new ArrayList<>();
--- a/cli/src/test/java/tansypass/cli/CommandsTest.java
+++ b/cli/src/test/java/tansypass/cli/CommandsTest.java
@@ -1,13 +1,14 @@
 package tansypass.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
+import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,6 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import tansypass.config.NodeFile;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.platform.NodeConfigJsonReader;
 
 class CommandsTest {
     private static final String NODE = """
@@ -39,6 +42,62 @@
             deadline = "400ms"
             """;
 
+    /** No value is a default. */
+    private static final String ALL_VALUES = """
+            [node]
+            listen = "127.0.0.1:8443"
+            admin = "127.0.0.1:9443"
+            zone = "b"
+            sockets = 500
+            seed = "8c1f30d27a5be964"
+            [discovery]
+            address = "127.0.0.1:8500"
+            [service]
+            zones = ["a", "b"]
+            nodes = 4
+            attempts = 5
+            second_copies = true
+            cancel = true
+            probes = true
+            retry_after = "600ms"
+            connect_timeout = "100ms"
+            idle = "10s"
+            drain_grace = "3s"
+            cold_from = 0.5
+            cold = "25s"
+            [[servers]]
+            uid = "s1"
+            endpoint = "127.0.0.1:1"
+            zone = "b"
+            cell = 3
+            weight = 2.5
+            [[tenants]]
+            name = "acme"
+            quota_per_s = 7.5
+            [[classes]]
+            name = "search"
+            repeat = "keyed"
+            group = "cell"
+            aim = "200ms"
+            deadline = "400ms"
+            worth = 5.0
+            late_worth = 0.25
+            window = "2s"
+            """;
+
+    private static final String ALL_VALUES_JSON = """
+            {"listen":"127.0.0.1:8443","admin":"127.0.0.1:9443","discovery":"127.0.0.1:8500",
+             "seed":"8c1f30d27a5be964","limits":{"sockets":500},
+             "known":{"rev":0,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","az":"b","pod_group":3,
+              "state":"Ready","capacity_hint":2.5,"boot_ms":0}]},
+             "settings":{"balancers":4,"zones":["a","b"],"myZone":"b","membershipMode":"pushed",
+              "realms":[{"name":"acme","quotaPerS":7.5}],
+              "classes":[{"name":"search","repeat":"keyed","group":"cell","onTimeUs":200000,"giveUpUs":400000,
+               "importance":5.0,"lateWorth":0.25,"windowUs":2000000}],
+              "limits":{"attemptsCap":5,"parallelTries":true,"cancelling":true,"probes":true,"retryAfter":true,
+               "maxRetryAfterUs":600000,"dialTimeoutUs":100000,"connIdleUs":10000000},
+              "rules":{"drainGraceUs":3000000,"coldFrom":0.5,"coldUs":25000000}}}""";
+
     @TempDir
     private Path folder;
 
@@ -102,19 +161,25 @@
     }
 
     @Test
-    void convertsFileToPlatformJson() throws IOException {
-        JsonObject json = JsonParser.parseString(PlatformJson.format(NodeFile.read(file(NODE), Map.of())))
-                .getAsJsonObject();
-        assertEquals("none", json.get("discovery").getAsString());
-        JsonObject settings = json.getAsJsonObject("settings");
-        assertEquals("b", settings.get("myZone").getAsString());
+    void convertsEachValueOfFileToNodeConfig() throws Exception {
+        NodeConfig expected = NodeConfigJsonReader.read(ALL_VALUES_JSON, Map.of());
+        NodeConfig converted = NodeFileConverter.toNodeConfig(NodeFile.read(file(ALL_VALUES), Map.of()));
+        assertEquals(expected, converted);
+    }
+
+    @Test
+    void convertsFileWithoutDiscoveryAdminAndSeed() throws Exception {
+        NodeFile file = NodeFile.read(file(NODE.replace("seed = \"7\"\n", "")), Map.of());
+        NodeConfig config = NodeFileConverter.toNodeConfig(file);
+        assertNull(config.discovery());
+        assertNull(config.admin());
+        assertNotEquals(config.seed(), NodeFileConverter.toNodeConfig(file).seed());
+        assertEquals(1, config.settings().localZone());
+        assertEquals(600_000, config.settings().maxRetryAfterUs());
+        assertEquals(3, config.initialEndpoints().endpoints().get(0).cell());
         assertEquals(
-                600_000,
-                settings.getAsJsonObject("limits").get("maxRetryAfterUs").getAsLong());
-        JsonObject server =
-                json.getAsJsonObject("known").getAsJsonArray("targets").get(0).getAsJsonObject();
-        assertEquals("127.0.0.1:1", server.get("endpoint").getAsString());
-        assertEquals(3, server.get("pod_group").getAsInt());
+                new InetSocketAddress("127.0.0.1", 1),
+                config.initialEndpoints().endpoints().get(0).address());
     }
 
     @Test
--- a/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
+++ b/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
@@ -2,20 +2,20 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import tansypass.config.NodeFile;
+import tansypass.platform.NodeConfigJsonReader;
 
 /** Names that operators and the platform use, recorded before any rename. */
 class ExternalNamesTest {
@@ -163,22 +163,35 @@
     }
 
     @Test
-    void platformJsonKeysStayAsRecorded() throws IOException {
+    void fileEqualsRecordedPlatformJson() throws Exception {
         String file = Files.writeString(folder.resolve("n.toml"), FILE).toString();
-        Set<String> keys = new TreeSet<>();
-        collect("", JsonParser.parseString(PlatformJson.format(NodeFile.read(file, Map.of()))), keys);
-        assertEquals(PLATFORM_JSON, String.join("\n", keys) + "\n");
+        JsonObject recorded = new JsonObject();
+        PLATFORM_JSON.lines().forEach(line -> set(recorded, line.substring(1, line.indexOf('=')), line));
+        assertEquals(
+                NodeConfigJsonReader.read(recorded.toString(), Map.of()),
+                NodeFileConverter.toNodeConfig(NodeFile.read(file, Map.of())));
     }
 
-    private static void collect(String path, JsonElement json, Set<String> keys) {
-        if (json.isJsonObject()) {
-            json.getAsJsonObject()
-                    .entrySet()
-                    .forEach(entry -> collect(path + "." + entry.getKey(), entry.getValue(), keys));
-        } else if (json.isJsonArray()) {
-            json.getAsJsonArray().forEach(item -> collect(path + "[]", item, keys));
-        } else {
-            keys.add(path + "=" + json);
+    /** Sets the value of a recorded line at its path; a list has one item. */
+    private static void set(JsonObject parent, String path, String line) {
+        int dot = path.indexOf('.');
+        String key = (dot < 0 ? path : path.substring(0, dot)).replace("[]", "");
+        boolean isList = path.startsWith(key + "[]");
+        if (dot < 0) {
+            JsonElement value = JsonParser.parseString(line.substring(line.indexOf('=') + 1));
+            parent.add(key, isList ? listOf(value) : value);
+            return;
+        }
+        if (!parent.has(key)) {
+            parent.add(key, isList ? listOf(new JsonObject()) : new JsonObject());
         }
+        JsonElement child = isList ? parent.getAsJsonArray(key).get(0) : parent.get(key);
+        set(child.getAsJsonObject(), path.substring(dot + 1), line);
+    }
+
+    private static JsonArray listOf(JsonElement item) {
+        JsonArray list = new JsonArray();
+        list.add(item);
+        return list;
     }
 }
--- a/config/src/main/java/tansypass/config/NodeFileReader.java
+++ b/config/src/main/java/tansypass/config/NodeFileReader.java
@@ -5,8 +5,6 @@
 import java.util.List;
 import java.util.Set;
 import tansypass.config.NodeFile.ClusterConfig;
-import tansypass.config.NodeFile.DeduplicationScope;
-import tansypass.config.NodeFile.Idempotency;
 import tansypass.config.NodeFile.LogFormat;
 import tansypass.config.NodeFile.LogLevel;
 import tansypass.config.NodeFile.LogSettings;
@@ -122,20 +120,21 @@
     }
 
     private static RequestClassConfig readRequestClass(TomlTableReader requestClass) {
-        long latencyObjectiveUs = requestClass.requireDurationUs("aim", MILLISECOND_US, NodeFile.MAX_DURATION_US);
-        long deadlineUs = requestClass.requireDurationUs("deadline", MILLISECOND_US, NodeFile.MAX_DURATION_US);
+        RequestClassReader common = new RequestClassReader(requestClass, NodeFile.MAX_DURATION_US);
+        long latencyObjectiveUs = common.requireLatencyObjectiveUs();
+        long deadlineUs = common.requireDeadlineUs();
         if (requestClass.isValid() && latencyObjectiveUs > deadlineUs) {
             requestClass.addError("aim", "is past the deadline");
         }
         return new RequestClassConfig(
                 requestClass.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
-                requestClass.getEnum("repeat", Idempotency.class, Idempotency.UNSAFE),
-                requestClass.getEnum("group", DeduplicationScope.class, DeduplicationScope.ALL),
+                common.readIdempotency(),
+                common.readDeduplicationScope(),
                 latencyObjectiveUs,
                 deadlineUs,
                 requestClass.getDouble("worth", 0, 1e6, 1),
                 requestClass.getDouble("late_worth", 0, 1, 0),
-                requestClass.getDurationUs("window", 0, NodeFile.MAX_DURATION_US, 0));
+                common.readDeduplicationWindowUs(0));
     }
 
     private static TenantConfig readTenant(TomlTableReader tenant) {
--- a/node/src/main/java/tansypass/platform/EndpointListJsonReader.java
+++ b/node/src/main/java/tansypass/platform/EndpointListJsonReader.java
@@ -17,17 +17,21 @@
  * is accepted completely or rejected, since a part of one would be a list that never existed.
  */
 public final class EndpointListJsonReader {
-    private static final String REVISION = "rev";
-    private static final String IS_SNAPSHOT = "all";
-    private static final String ENDPOINTS = "targets";
+    static final String REVISION = "rev";
+    static final String IS_SNAPSHOT = "all";
+    static final String ENDPOINTS = "targets";
 
-    private static final String ID = "uid";
-    private static final String ADDRESS = "endpoint";
-    private static final String ZONE = "az";
-    private static final String CELL = "pod_group";
-    private static final String STATE = "state";
-    private static final String WEIGHT = "capacity_hint";
-    private static final String BOOT_MS = "boot_ms";
+    static final String ID = "uid";
+    static final String ADDRESS = "endpoint";
+    static final String ZONE = "az";
+    static final String CELL = "pod_group";
+    static final String STATE = "state";
+    static final String WEIGHT = "capacity_hint";
+    static final String BOOT_MS = "boot_ms";
+
+    static final String STATE_READY = "Ready";
+    static final String STATE_DRAINING = "Terminating";
+    static final String STATE_GONE = "Gone";
 
     private EndpointListJsonReader() {}
 
@@ -97,9 +101,9 @@
     private static ServerState readState(JsonFields fields) throws InvalidValueException {
         String state = fields.requireText(STATE);
         return switch (state) {
-            case "Ready" -> ServerState.READY;
-            case "Terminating" -> ServerState.DRAINING;
-            case "Gone" -> ServerState.GONE;
+            case STATE_READY -> ServerState.READY;
+            case STATE_DRAINING -> ServerState.DRAINING;
+            case STATE_GONE -> ServerState.GONE;
             default -> throw fields.invalid(STATE, "is unknown: " + state);
         };
     }
--- a/node/src/test/java/tansypass/platform/PlatformNamesTest.java
+++ b/node/src/test/java/tansypass/platform/PlatformNamesTest.java
@@ -8,9 +8,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.regex.Matcher;
+import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
-import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
@@ -28,15 +27,23 @@
     private static final Pattern NAME_IN_TEXT =
             Pattern.compile("(?<=[\"./ ])(" + String.join("|", NAMES) + ")(?=[\".=])");
 
-    private static final Pattern IGNORED =
-            Pattern.compile("/\\*.*?\\*/|//[^\n]*|^import .*?;", Pattern.DOTALL | Pattern.MULTILINE);
-    private static final Path MAIN_CODE = Path.of("src/main/java/tansypass");
-    private static final Path EDGE = MAIN_CODE.resolve("platform");
+    private static final Pattern COMMENT = Pattern.compile("/\\*.*?\\*/", Pattern.DOTALL);
+    private static final Pattern LITERAL = Pattern.compile("\"\"\".*?\"\"\"|\"(\\\\.|[^\"\\\\\n])*\"", Pattern.DOTALL);
+    /** The module config is left out: its TOML keys are a format of its own, which shares some of the names. */
+    private static final List<Path> MAIN_CODE = Stream.of("node", "cluster", "testbed", "cli")
+            .map(module -> Path.of("..", module, "src/main/java/tansypass"))
+            .toList();
+
+    private static final Path EDGE = MAIN_CODE.get(0).resolve("platform");
 
     private static Set<String> findNames(Path file) throws IOException {
-        String code = IGNORED.matcher(Files.readString(file)).replaceAll("").replace("\\\"", "\"");
-        Matcher matcher = NAME_IN_TEXT.matcher(code);
-        return matcher.results().map(found -> found.group(1)).collect(Collectors.toCollection(TreeSet::new));
+        String code = COMMENT.matcher(Files.readString(file)).replaceAll("");
+        Set<String> names = new TreeSet<>();
+        for (MatchResult literal : LITERAL.matcher(code).results().toList()) {
+            String text = literal.group().replace("\\\"", "\"");
+            NAME_IN_TEXT.matcher(text).results().forEach(found -> names.add(found.group(1)));
+        }
+        return names;
     }
 
     private static List<Path> findSources(Path folder) throws IOException {
@@ -49,12 +56,14 @@
     void onlyTheEdgeSpellsNamesOfThePlatform() throws IOException {
         Set<String> inEdge = new TreeSet<>();
         Set<String> elsewhere = new TreeSet<>();
-        for (Path file : findSources(MAIN_CODE)) {
-            Set<String> names = findNames(file);
-            if (file.startsWith(EDGE)) {
-                inEdge.addAll(names);
-            } else {
-                names.forEach(name -> elsewhere.add(file + ": " + name));
+        for (Path folder : MAIN_CODE) {
+            for (Path file : findSources(folder)) {
+                Set<String> names = findNames(file);
+                if (file.startsWith(EDGE)) {
+                    inEdge.addAll(names);
+                } else {
+                    names.forEach(name -> elsewhere.add(file + ": " + name));
+                }
             }
         }
         assertEquals(NAMES, inEdge);
--- a/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
+++ b/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
@@ -1,7 +1,5 @@
 package tansypass.testbed.process;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -25,13 +23,19 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import tansypass.balancer.ServerState;
+import tansypass.node.endpoint.EndpointList;
+import tansypass.node.endpoint.EndpointList.Endpoint;
+import tansypass.platform.EndpointListJsonWriter;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.model.EndpointRegistry;
 import tansypass.testbed.model.EndpointRegistry.Entry;
@@ -90,30 +94,26 @@
     }
 
     private String toJson(WatchEvent event) {
-        JsonObject json = new JsonObject();
-        json.addProperty("rev", event.revision());
-        json.addProperty("all", event.isSnapshot());
-        JsonArray targets = new JsonArray();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (Entry entry : event.entries()) {
-            JsonObject target = new JsonObject();
-            target.addProperty("uid", entry.name());
-            target.addProperty("endpoint", Channels.text(addresses.apply(entry.number())));
-            target.addProperty("az", scenario.zone(entry.number()));
-            target.addProperty("model", "rig");
-            target.addProperty("pod_group", entry.number() / scenario.servers().cell());
-            target.addProperty(
-                    "state",
-                    switch (entry.state()) {
-                        case READY -> "Ready";
-                        case TERMINATING -> "Terminating";
-                        case GONE -> "Gone";
-                    });
-            target.addProperty("capacity_hint", 1.0);
-            target.addProperty("boot_ms", entry.bootMs());
-            targets.add(target);
+            endpoints.add(toEndpoint(entry));
         }
-        json.add("targets", targets);
-        return json + "\n";
+        return EndpointListJsonWriter.write(new EndpointList(event.revision(), event.isSnapshot(), endpoints)) + "\n";
+    }
+
+    private Endpoint toEndpoint(Entry entry) {
+        return new Endpoint(
+                entry.name(),
+                addresses.apply(entry.number()),
+                scenario.zone(entry.number()),
+                entry.number() / scenario.servers().cell(),
+                switch (entry.state()) {
+                    case READY -> ServerState.READY;
+                    case TERMINATING -> ServerState.DRAINING;
+                    case GONE -> ServerState.GONE;
+                },
+                1,
+                entry.bootMs());
     }
 
     private void recordNotified(WatchEvent event) {
--- a/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
@@ -5,9 +5,8 @@
 import java.util.Map;
 import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile;
-import tansypass.config.NodeFile.DeduplicationScope;
-import tansypass.config.NodeFile.Idempotency;
 import tansypass.config.ProbeTiming;
+import tansypass.config.RequestClassReader;
 import tansypass.config.TomlFile;
 import tansypass.config.TomlTableReader;
 import tansypass.testbed.scenario.Scenario.Clients;
@@ -109,15 +108,16 @@
     }
 
     private static RequestClass requestClass(TomlTableReader line) {
+        RequestClassReader common = new RequestClassReader(line, HOUR_US);
         return new RequestClass(
                 line.requireString("name", "[a-z][a-z0-9-]{0,31}", "a small letter, then letters, digits, -"),
                 line.getDouble("share", 0, 1e6, 1),
-                line.getEnum("repeat", Idempotency.class, Idempotency.UNSAFE),
-                line.getEnum("group", DeduplicationScope.class, DeduplicationScope.ALL),
-                line.getDurationUs("window", 0, HOUR_US, 5_000_000),
+                common.readIdempotency(),
+                common.readDeduplicationScope(),
+                common.readDeduplicationWindowUs(5_000_000),
                 line.getDurationUs("work", 0, MINUTE_US, 10_000),
-                line.getDurationUs("aim", 1_000, HOUR_US, 200_000),
-                line.getDurationUs("deadline", 1_000, HOUR_US, 400_000));
+                common.readLatencyObjectiveUs(200_000),
+                common.readDeadlineUs(400_000));
     }
 
     private static Fault fault(TomlTableReader line) {
