--- a/node/src/test/java/tansypass/node/MainTest.java
+++ b/node/src/test/java/tansypass/node/MainTest.java
@@ -13,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.logging.ConsoleHandler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
@@ -24,8 +25,11 @@
 /** The program in a process of its own: start, signals, exit codes and descriptor limits. */
 @Timeout(120)
 class MainTest extends ReservedPortTestBase {
+    private static final int SUCCESS = 0;
+    private static final int FAILURE = 1;
+    private static final int INVALID_CONFIGURATION = 2;
+
     private ChildNodeProcess process;
-    private Class<?> program = Main.class;
 
     @AfterEach
     void close() throws Exception {
@@ -34,13 +38,17 @@
         }
     }
 
-    private void start(JsonObject config, String shellPrefix) throws Exception {
-        run(Fixture.writeConfigFile(config).toString(), shellPrefix);
+    private void startAndAwaitReady(JsonObject config) throws Exception {
+        startAndAwaitReady(config, "");
+    }
+
+    private void startAndAwaitReady(JsonObject config, String shellPrefix) throws Exception {
+        start(Fixture.writeConfigFile(config).toString(), shellPrefix);
         awaitReady();
     }
 
-    private void run(String configFile, String shellPrefix) throws IOException {
-        process = new ChildNodeProcess(program, configFile, shellPrefix);
+    private void start(String configFile, String shellPrefix) throws IOException {
+        process = new ChildNodeProcess(Main.class, configFile, shellPrefix);
     }
 
     private void awaitReady() throws Exception {
@@ -63,7 +71,7 @@
     @Test
     void sigtermCompletesInFlightRequestAndExitsWithZero() throws Exception {
         server.setScript(FakePeer.SILENT);
-        start(createConfig(), "");
+        startAndAwaitReady(createConfig());
         Socket idle = connect();
         Socket client = connect();
         FakePeer.write(client, Fixture.formatRequest("POST", "/order", 1, "", "x"));
@@ -82,13 +90,13 @@
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
         assertEquals("close", FakePeer.findHeader(response, "Connection"));
-        process.assertExits(0, "exit code");
+        process.assertExits(SUCCESS, "exit code");
     }
 
     @Test
     void furtherSignalsDuringShutdownLoseNoRequest() throws Exception {
         server.setScript(FakePeer.SILENT);
-        start(createConfig(), "");
+        startAndAwaitReady(createConfig());
         Socket client = connect();
         FakePeer.write(client, Fixture.formatRequest("POST", "/order", 1, "", "x"));
         server.nextRequest();
@@ -110,7 +118,7 @@
         String response = FakePeer.readMessage(client);
         assertTrue(response != null && response.endsWith("done"), response);
         assertNull(FakePeer.readMessage(client), "a second response");
-        process.assertExits(0, "exit code");
+        process.assertExits(SUCCESS, "exit code");
         assertEquals(0, server.requests.size());
     }
 
@@ -119,7 +127,7 @@
         JsonObject config = createConfig();
         config.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         Path file = Fixture.writeConfigFile(config);
-        run(file.toString(), "export LB_DISCOVERY=" + discovery.address() + "; ");
+        start(file.toString(), "export LB_DISCOVERY=" + discovery.address() + "; ");
         awaitReady();
         assertTrue(discovery.nextRequest().contains("after=41 "));
         Socket oldWatch = FakePeer.awaitNext(discovery.accepted);
@@ -139,21 +147,21 @@
     @Test
     void servesClientsAfterRunningOutOfDescriptors() throws Exception {
         // The configured limit is higher than that of the process.
-        start(createConfig(), "ulimit -n 100 && ");
-        // In tests classes are loaded from files, which takes descriptors: load them before these run out.
+        startAndAwaitReady(createConfig(), "ulimit -n 100 && ");
+        // In tests classes are loaded from files, which needs descriptors: load them before these run out.
         assertServed(0);
-        List<Socket> many = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            many.add(connect());
+            clients.add(connect());
         }
         // Idle connections are closed to make room, so that each request gets a response.
-        Socket requesting = many.get(many.size() - 1);
+        Socket requesting = clients.get(clients.size() - 1);
         FakePeer.write(requesting, Fixture.formatRequest("GET", "/view", 1, "", ""));
         String response = FakePeer.readMessage(requesting);
         assertTrue(
                 response != null && response.startsWith("HTTP/1.1 "),
                 () -> "no response while descriptors are short: " + process.killAndReadOutput());
-        for (Socket socket : many) {
+        for (Socket socket : clients) {
             socket.close();
         }
         assertServed(2);
@@ -161,33 +169,32 @@
 
     @Test
     void startsWithMinimumOfDescriptors() throws Exception {
-        start(createConfig(), "ulimit -n " + DescriptorLimiter.MIN_DESCRIPTORS + " && ");
+        startAndAwaitReady(createConfig(), "ulimit -n " + DescriptorLimiter.MIN_DESCRIPTORS + " && ");
     }
 
     @Test
     void exitsWithOneLineWhenDescriptorsAreTooFew() throws Exception {
-        run(
+        start(
                 Fixture.writeConfigFile(Fixture.createConfig(discovery, server)).toString(),
                 "ulimit -n " + (DescriptorLimiter.MIN_DESCRIPTORS - 1) + " && ");
-        assertExitsWithOneLine("short of file descriptors", 1);
+        assertExitsWithOneLine("short of file descriptors", FAILURE);
     }
 
     @Test
     void exitsWhenEventLoopTerminatesByException() throws Exception {
-        JsonObject config = createConfig();
-        program = BrokenLog.class;
-        run(Fixture.writeConfigFile(config).toString(), "");
-        process.assertExits(1, "exit code");
+        String configFile = Fixture.writeConfigFile(createConfig()).toString();
+        process = new ChildNodeProcess(MainWithFailingLogHandler.class, configFile, "");
+        process.assertExits(FAILURE, "exit code");
         String output = process.killAndReadOutput();
         assertTrue(output.contains("tansypass: the event loop has ended by a fault"), output);
     }
 
-    /** The program with a log handler that fails at each record, as if its classes could not be loaded. */
-    static final class BrokenLog {
+    /** The program with a log handler that throws at each record, as if its classes could not be loaded. */
+    static final class MainWithFailingLogHandler {
         public static void main(String[] args) {
             Logger.getLogger("").addHandler(new ConsoleHandler() {
                 @Override
-                public synchronized void publish(LogRecord line) {
+                public synchronized void publish(LogRecord logRecord) {
                     throw new NoClassDefFoundError("thrown by the test");
                 }
             });
@@ -196,56 +203,62 @@
     }
 
     @Test
-    void exitsWithOneLineOnInvalidConfiguration() throws Exception {
-        JsonObject noSettings = Fixture.createConfig(discovery, server);
-        noSettings.remove("settings");
-        JsonObject noSeed = Fixture.createConfig(discovery, server);
-        noSeed.remove("seed");
-        JsonObject noClasses = Fixture.createConfig(discovery, server);
-        noClasses.getAsJsonObject("settings").remove("classes");
-        Path broken = Files.createTempFile("node", ".json");
-        Files.writeString(broken, "{\"seed\":}");
-        assertRejected(null, "LB_CONFIG");
+    void exitsWithOneLineOnUnreadableConfigurationFile() throws Exception {
+        Path malformed = Files.createTempFile("node", ".json");
+        Files.writeString(malformed, "{\"seed\":}");
+        assertRejected((String) null, "LB_CONFIG");
         assertRejected("/nowhere/config.json", "LB_CONFIG");
-        assertRejected(broken.toString(), "JSON");
-        assertRejected(Fixture.writeConfigFile(noSettings).toString(), "settings");
-        assertRejected(Fixture.writeConfigFile(noSeed).toString(), "seed");
-        assertRejected(Fixture.writeConfigFile(noClasses).toString(), "classes");
-        JsonObject noPort = Fixture.createConfig(discovery, server);
-        noPort.addProperty("admin", "127.0.0.1");
-        assertRejected(Fixture.writeConfigFile(noPort).toString(), "address and port");
-        JsonObject wrongForm = Fixture.createConfig(discovery, server);
-        wrongForm.getAsJsonObject("settings").getAsJsonArray("zones").add(new JsonObject());
-        assertRejected(Fixture.writeConfigFile(wrongForm).toString(), "wrong form");
-        Files.delete(broken);
+        assertRejected(malformed.toString(), "JSON");
+        Files.delete(malformed);
+    }
+
+    @Test
+    void exitsWithOneLineOnInvalidConfiguration() throws Exception {
+        assertRejected(changedConfig(config -> config.remove("settings")), "settings");
+        assertRejected(changedConfig(config -> config.remove("seed")), "seed");
+        assertRejected(
+                changedConfig(config -> config.getAsJsonObject("settings").remove("classes")), "classes");
+        assertRejected(changedConfig(config -> config.addProperty("admin", "127.0.0.1")), "address and port");
+        assertRejected(
+                changedConfig(config -> config.getAsJsonObject("settings")
+                        .getAsJsonArray("zones")
+                        .add(new JsonObject())),
+                "wrong form");
+    }
+
+    private JsonObject changedConfig(Consumer<JsonObject> change) {
+        JsonObject config = Fixture.createConfig(discovery, server);
+        change.accept(config);
+        return config;
     }
 
     @Test
     void exitsWithErrorWhenAddressIsInUse() throws Exception {
         JsonObject config = Fixture.createConfig(discovery, server);
         config.addProperty("admin", server.address());
-        assertRejected(Fixture.writeConfigFile(config).toString(), "can't listen for operators", 1);
+        start(Fixture.writeConfigFile(config).toString(), "");
+        assertExitsWithOneLine("can't listen for operators", FAILURE);
         config.remove("admin");
         config.addProperty("listen", server.address());
-        run(Fixture.writeConfigFile(config).toString(), "");
+        start(Fixture.writeConfigFile(config).toString(), "");
         String output = process.awaitOutputEnd();
-        process.assertExits(1, output);
+        process.assertExits(FAILURE, output);
         List<String> lines = output.lines().toList();
         assertTrue(lines.get(lines.size() - 1).contains("can't listen for clients"), output);
     }
 
-    private void assertRejected(String config, String named) throws Exception {
-        assertRejected(config, named, 2);
+    private void assertRejected(JsonObject config, String expectedText) throws Exception {
+        assertRejected(Fixture.writeConfigFile(config).toString(), expectedText);
     }
 
-    private void assertRejected(String config, String named, int code) throws Exception {
-        run(config, "");
-        assertExitsWithOneLine(named, code);
+    private void assertRejected(String configFile, String expectedText) throws Exception {
+        start(configFile, "");
+        assertExitsWithOneLine(expectedText, INVALID_CONFIGURATION);
     }
 
-    private void assertExitsWithOneLine(String named, int code) throws Exception {
+    private void assertExitsWithOneLine(String expectedText, int exitCode) throws Exception {
         String output = process.awaitOutputEnd();
-        process.assertExits(code, output);
-        assertTrue(output.contains(named) && output.lines().count() == 1, output);
+        process.assertExits(exitCode, output);
+        assertTrue(output.contains(expectedText) && output.lines().count() == 1, output);
     }
 }
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -88,26 +88,27 @@
         while (!oldStopped.await(0, TimeUnit.SECONDS)) {
             assertServed(sent++);
         }
-        long before = servedBy(oldNode);
+        long servedUntilStop = servedBy(oldNode);
         for (int i = 0; i < 20; i++) {
             assertServed(sent++);
         }
-        assertEquals(before, servedBy(oldNode), "stopped, and still serving clients");
+        assertEquals(servedUntilStop, servedBy(oldNode), "the stopped node still serves clients");
         Set<String> ids = new HashSet<>();
-        server.requests.forEach(r -> assertTrue(ids.add(FakePeer.findHeader(r, "X-Txn")), "forwarded twice"));
+        server.requests.forEach(
+                request -> assertTrue(ids.add(FakePeer.findHeader(request, "X-Txn")), "forwarded twice"));
         assertEquals(sent, ids.size());
         CountDownLatch newStopped = newNode.stop();
         assertTrue(newStopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         assertThrows(ConnectException.class, this::connect);
     }
 
-    private static long servedBy(StartedNode running) {
-        return running.node()
+    private static long servedBy(StartedNode started) {
+        return started.node()
                 .metrics()
                 .format()
                 .lines()
-                .filter(l -> l.startsWith("node.requests.view.served="))
-                .mapToLong(l -> Long.parseLong(l.split("=")[1]))
+                .filter(line -> line.startsWith("node.requests.view.served="))
+                .mapToLong(line -> Long.parseLong(line.split("=")[1]))
                 .sum();
     }
 
@@ -118,12 +119,8 @@
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
             new ProxyNode(config, loop).start(group, 8);
-            try {
-                // The warm-up has been started and cannot proceed before this task returns.
-                release.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+            // The warm-up has been started and cannot proceed before this task returns.
+            Fixture.awaitLatch(release);
         });
         assertThrows(ConnectException.class, this::connect);
         release.countDown();
@@ -164,21 +161,17 @@
                 .sync();
         CountDownLatch connected = new CountDownLatch(1);
         loop.execute(() -> {
-            try {
-                connected.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+            Fixture.awaitLatch(connected);
             frontend.stopAccepting(() -> {});
         });
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> queued = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            waiting.add(connect());
-            FakePeer.write(waiting.get(i), "GET /ready HTTP/1.1\r\n\r\n");
+            queued.add(connect());
+            FakePeer.write(queued.get(i), "GET /ready HTTP/1.1\r\n\r\n");
         }
         connected.countDown();
-        for (Socket socket : waiting) {
-            assertTrue(FakePeer.readMessage(socket).startsWith("HTTP/1.1 503"), "not served");
+        for (Socket socket : queued) {
+            assertTrue(FakePeer.readMessage(socket).startsWith("HTTP/1.1 503"), "not answered with 503");
             socket.close();
         }
     }
