--- a/node/src/test/java/tansypass/balancer/SlowStartLimitChecker.java
+++ b/node/src/test/java/tansypass/balancer/SlowStartLimitChecker.java
@@ -57,7 +57,7 @@
         return Math.min(1, initial + (1 - initial) * (nowUs - server.startedAtUs()) / settings.slowStartUs());
     }
 
-    /** Fails if the sends of any window exceed the limit, given this node's throughput in requests served per second. */
+    /** Fails if the sends of any window exceed the limit, given how many requests this node serves per second. */
     void assertSendsWithinLimit(double servedPerSecond) {
         sendsByServer.forEach((server, sends) -> {
             for (Send first : sends) {
