--- a/cli/src/main/java/tansypass/cli/AdminCall.java
+++ b/cli/src/main/java/tansypass/cli/AdminCall.java
@@ -1,6 +1,7 @@
 package tansypass.cli;
 
 import java.io.IOException;
+import java.io.InterruptedIOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -22,11 +23,13 @@
     /**
      * Sends a call and waits for its response.
      *
-     * @throws IOException if the address is invalid or no response was received
+     * @throws InvalidAddressException if the address is not numeric, or has no port
+     * @throws NoResponseException if no response was received in time
+     * @throws InterruptedIOException if the thread was interrupted; its interrupt status is set
      */
     static HttpResponse<String> send(String address, String method, String path) throws IOException {
         if (!ADDRESS.matcher(address).matches()) {
-            throw new IOException("not an address and port: " + address);
+            throw new InvalidAddressException(address);
         }
         HttpRequest call = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(TIMEOUT)
@@ -39,10 +42,10 @@
                     .build()
                     .send(call, BodyHandlers.ofString());
         } catch (IOException e) {
-            throw new IOException("no answer at " + address + ": " + e, e);
+            throw new NoResponseException(address, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw (IOException) new InterruptedIOException("interrupted").initCause(e);
         }
     }
 }
--- a/cli/src/main/java/tansypass/cli/DemoCommand.java
+++ b/cli/src/main/java/tansypass/cli/DemoCommand.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -13,6 +14,7 @@
 import picocli.CommandLine.Spec;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.RunStatistics.End;
+import tansypass.testbed.process.InsufficientResourcesException;
 import tansypass.testbed.report.Report;
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
@@ -33,7 +35,7 @@
     private CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException, InterruptedException {
+    public Integer call() throws IOException, InsufficientResourcesException, InterruptedException {
         Scenario scenario = ScenarioFile.parse(readScenario(), "demo.toml");
         PrintWriter out = spec.commandLine().getOut();
         out.println(scenario.nodes().count() + " nodes, " + scenario.servers().count() + " servers, "
@@ -44,7 +46,7 @@
         InvariantChecker checker = ScenarioRunner.runOnProcesses(
                 scenario,
                 seed,
-                null,
+                Optional.empty(),
                 (second, ends, serving, violations) -> {
                     printRow(out, second, ends, serving, violations);
                     out.flush();
@@ -56,7 +58,7 @@
         return report.isSound() ? Exit.OK : Exit.NEGATIVE;
     }
 
-    /** Prints one second; {@code serving} says of each node whether it serves clients, shown as + or -. */
+    /** Prints one second; {@code serving} has for each node whether it serves clients, printed as + or -. */
     private static void printRow(
             PrintWriter out, long second, Map<End, Long> ends, List<Boolean> serving, int violations) {
         StringBuilder nodes = new StringBuilder();
--- a/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
+++ b/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
@@ -27,15 +27,23 @@
     /**
      * Fetches the view of the member at a cluster address.
      *
-     * @throws IOException if the member does not respond, or not with a JSON object
+     * @throws NotAMemberException if the response is not a JSON object
+     * @throws IOException if there is no response, see {@link AdminCall#send}
      */
     static MembershipSnapshot fetch(String address) throws IOException {
+        String body = AdminCall.send(address, "GET", ClusterTransport.VIEW_PATH).body();
+        JsonElement json = parse(address, body);
+        if (!json.isJsonObject()) {
+            throw new NotAMemberException(address);
+        }
+        return new MembershipSnapshot(json.getAsJsonObject());
+    }
+
+    private static JsonElement parse(String address, String body) throws NotAMemberException {
         try {
-            String body =
-                    AdminCall.send(address, "GET", ClusterTransport.VIEW_PATH).body();
-            return new MembershipSnapshot(JsonParser.parseString(body).getAsJsonObject());
-        } catch (JsonParseException | IllegalStateException e) {
-            throw new IOException(address + " is no member of a fleet", e);
+            return JsonParser.parseString(body);
+        } catch (JsonParseException e) {
+            throw new NotAMemberException(address, e);
         }
     }
 
--- /dev/null
+++ b/cli/src/main/java/tansypass/cli/NotAMemberException.java
@@ -0,0 +1,16 @@
+package tansypass.cli;
+
+import java.io.IOException;
+
+/** Thrown if what responds at an address does not send the view of a cluster member; the message names the address. */
+final class NotAMemberException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    NotAMemberException(String address) {
+        super(address + " is no member of a fleet");
+    }
+
+    NotAMemberException(String address, Throwable cause) {
+        super(address + " is no member of a fleet", cause);
+    }
+}
--- a/cli/src/main/java/tansypass/cli/ScenarioRunner.java
+++ b/cli/src/main/java/tansypass/cli/ScenarioRunner.java
@@ -4,8 +4,10 @@
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.stream.Stream;
 import tansypass.testbed.invariant.InvariantChecker;
+import tansypass.testbed.process.InsufficientResourcesException;
 import tansypass.testbed.process.ProcessRun;
 import tansypass.testbed.process.Progress;
 import tansypass.testbed.scenario.Scenario;
@@ -17,23 +19,26 @@
     /**
      * Runs a scenario on real processes.
      *
-     * @param keepDirectory for files and logs, or null for a temporary directory, which is deleted if no invariant was
+     * @param keepDirectory for files and logs; if empty, a temporary directory, which is deleted if no invariant was
      *     violated
      * @param out receives the name of the directory if it is kept
-     * @throws IOException if a process could not be started
+     * @throws InsufficientResourcesException if the machine has too few resources
+     * @throws IOException if the run could not be started or completed, see {@link ProcessRun#run}
      */
     static InvariantChecker runOnProcesses(
-            Scenario scenario, long seed, Path keepDirectory, Progress progress, PrintWriter out)
-            throws IOException, InterruptedException {
-        boolean isTemporary = keepDirectory == null;
-        Path directory =
-                isTemporary ? Files.createTempDirectory("tansypass-testbed") : Files.createDirectories(keepDirectory);
-        InvariantChecker checker = null;
+            Scenario scenario, long seed, Optional<Path> keepDirectory, Progress progress, PrintWriter out)
+            throws IOException, InsufficientResourcesException, InterruptedException {
+        Path directory = keepDirectory.isPresent()
+                ? Files.createDirectories(keepDirectory.get())
+                : Files.createTempDirectory("tansypass-testbed");
+        boolean isKept = true;
         try {
-            checker = ProcessRun.run(scenario, seed, ProgramCommand.of("node", "--with-parent"), directory, progress);
+            InvariantChecker checker =
+                    ProcessRun.run(scenario, seed, ProgramCommand.of("node", "--with-parent"), directory, progress);
+            isKept = keepDirectory.isPresent() || checker.violationCount() > 0;
             return checker;
         } finally {
-            if (isTemporary && checker != null && checker.violationCount() == 0) {
+            if (!isKept) {
                 delete(directory);
             } else {
                 out.println("files and logs of the nodes: " + directory);
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -12,6 +13,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import tansypass.testbed.invariant.InvariantChecker;
+import tansypass.testbed.process.InsufficientResourcesException;
 import tansypass.testbed.process.Progress;
 import tansypass.testbed.report.Report;
 import tansypass.testbed.scenario.Scenario;
@@ -68,14 +70,14 @@
         private CommandSpec spec;
 
         @Override
-        public Integer call() throws IOException, InterruptedException {
+        public Integer call() throws IOException, InsufficientResourcesException, InterruptedException {
             Scenario scenario = ScenarioFile.read(file);
             PrintWriter out = spec.commandLine().getOut();
             String command = "./tansypass testbed run " + file + " --seed " + seed + (virtual ? " --virtual" : "");
             long startNs = System.nanoTime();
             InvariantChecker checker = virtual
                     ? SimulationRun.run(scenario, seed)
-                    : ScenarioRunner.runOnProcesses(scenario, seed, keep, Progress.NONE, out);
+                    : ScenarioRunner.runOnProcesses(scenario, seed, Optional.ofNullable(keep), Progress.NONE, out);
             Report report = Report.of(scenario, seed, command, checker);
             out.print(report.text());
             out.printf("took %.2f s%n", (System.nanoTime() - startNs) / 1e9);
--- a/cli/src/main/java/tansypass/cli/WatchCommand.java
+++ b/cli/src/main/java/tansypass/cli/WatchCommand.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
@@ -33,7 +34,7 @@
     @Spec
     private CommandSpec spec;
 
-    /** The metrics of a node at one time; if there are none, {@code state} says why. */
+    /** The metrics of a node at one time; if there are none, {@code state} is the reason. */
     private record Sample(String state, Map<String, Long> metrics) {
         long sum(String suffix) {
             return metrics.entrySet().stream()
@@ -42,9 +43,10 @@
                     .sum();
         }
 
-        long increaseSince(Sample previous, String suffix) {
+        long increaseSince(Optional<Sample> previous, String suffix) {
             // A restarted process counts from 0.
-            return Math.max(0, sum(suffix) - (previous == null ? 0 : previous.sum(suffix)));
+            return Math.max(
+                    0, sum(suffix) - previous.map(sample -> sample.sum(suffix)).orElse(0L));
         }
     }
 
@@ -61,14 +63,14 @@
             for (String address : addresses) {
                 Sample current = takeSample(address);
                 answered |= !current.metrics.isEmpty();
-                printRow(out, address, current, previous.put(address, current));
+                printRow(out, address, current, Optional.ofNullable(previous.put(address, current)));
             }
             out.flush();
         }
         return answered ? Exit.OK : Exit.FAILED;
     }
 
-    private static void printRow(PrintWriter out, String address, Sample current, Sample previous) {
+    private static void printRow(PrintWriter out, String address, Sample current, Optional<Sample> previous) {
         if (current.metrics.isEmpty()) {
             out.printf("%-21s %s%n", address, current.state);
             return;
--- a/cli/src/test/java/tansypass/cli/ProcessRunTest.java
+++ b/cli/src/test/java/tansypass/cli/ProcessRunTest.java
@@ -15,6 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.RunStatistics.End;
+import tansypass.testbed.process.InsufficientResourcesException;
+import tansypass.testbed.process.NodeStartException;
 import tansypass.testbed.process.ProcessRun;
 import tansypass.testbed.process.Progress;
 import tansypass.testbed.scenario.Scenario;
@@ -79,8 +81,8 @@
     @Test
     void reportsExitCodeOfNodeThatCannotStart() throws Exception {
         Scenario scenario = ScenarioFile.read(file(SCENARIO).toString());
-        IOException rejection = assertThrows(
-                IOException.class,
+        NodeStartException rejection = assertThrows(
+                NodeStartException.class,
                 () -> ProcessRun.run(
                         scenario,
                         7,
@@ -94,8 +96,8 @@
     void rejectsMoreProcessesThanFitBeforeStart() throws Exception {
         Scenario scenario = ScenarioFile.read(
                 file(SCENARIO.replace("count = 3", "count = 2000")).toString());
-        IllegalArgumentException rejection = assertThrows(
-                IllegalArgumentException.class,
+        InsufficientResourcesException rejection = assertThrows(
+                InsufficientResourcesException.class,
                 () -> ProcessRun.run(scenario, 7, List.of("nothing"), folder, Progress.NONE));
         assertTrue(rejection.getMessage().matches("2000 nodes wanted, [0-9]+ fit: .*"), rejection.getMessage());
     }
--- a/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
@@ -2,6 +2,7 @@
 
 import static tansypass.testbed.invariant.TimeTolerance.SLACK_US;
 
+import java.util.OptionalLong;
 import tansypass.config.NodeFile.DeduplicationScope;
 import tansypass.config.NodeFile.Idempotency;
 import tansypass.testbed.invariant.RequestRecord.AttemptRecord;
@@ -10,7 +11,7 @@
 
 /**
  * Checks the attempts of requests: retries and hedged requests are only those that the class allows, and none
- * goes to a draining server. Times are microseconds since the load began. Not thread-safe.
+ * is sent to a draining server. Times are microseconds since the load began. Not thread-safe.
  */
 final class AttemptInvariants {
     private final Scenario scenario;
@@ -61,14 +62,14 @@
 
     /** Checks that the server of a new attempt is not draining for longer than the node's grace. */
     void checkDraining(long nowUs, String id, RequestRecord request, int server) {
-        Long notifiedUs = drainNotifications.notifiedUs(request.node, server);
+        OptionalLong notifiedUs = drainNotifications.notifiedUs(request.node, server);
         long graceUs = scenario.nodes().drainGraceUs() + SLACK_US;
-        if (notifiedUs != null && nowUs > notifiedUs + graceUs) {
+        if (notifiedUs.isPresent() && nowUs > notifiedUs.getAsLong() + graceUs) {
             recorder.recordViolation(
                     Invariant.DRAINING,
                     nowUs,
-                    "node-" + request.node + " sent " + id + " to server-" + server + " " + (nowUs - notifiedUs) / 1_000
-                            + " ms after it was told that it leaves");
+                    "node-" + request.node + " sent " + id + " to server-" + server + " "
+                            + (nowUs - notifiedUs.getAsLong()) / 1_000 + " ms after it was told that it leaves");
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -53,14 +54,15 @@
         }
     }
 
-    /** A node's new process knows only what it is notified of itself. */
+    /** A node's new process was not notified of anything yet. */
     void nodeStarted(long nowUs, int node) {
         notifiedUs.keySet().removeIf(key -> key.startsWith(node + ">"));
         draining.forEach(server -> notifiedUs.put(key(node, server), nowUs + NOTIFIED_AT_LATEST_US));
     }
 
-    /** Returns when the node counts as notified, or null if it does not. */
-    Long notifiedUs(int node, int server) {
-        return notifiedUs.get(key(node, server));
+    /** Returns when the node counts as notified; empty if it does not. */
+    OptionalLong notifiedUs(int node, int server) {
+        Long atUs = notifiedUs.get(key(node, server));
+        return atUs == null ? OptionalLong.empty() : OptionalLong.of(atUs);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/invariant/Invariant.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/Invariant.java
@@ -6,7 +6,7 @@
     ANSWERED,
     /** No request is retried or hedged beyond what its class allows. */
     REPEATED,
-    /** No request goes to a server after the node was notified that it is draining or terminated. */
+    /** No request is sent to a server after the node was notified that it is draining or terminated. */
     DRAINING,
     /** Only a response that a server produced for the request is served. */
     INVENTED_ANSWER,
@@ -16,7 +16,7 @@
     DIED,
     /** No request, attempt or process is left at the end. */
     LEAKED,
-    /** No member that is up and has no fault is held to have failed. */
+    /** No member that is up and has no fault is declared failed. */
     MEMBER_FAILED,
     /** No member comes back by an outdated update. */
     MEMBER_RETURNED,
--- a/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.testbed.invariant.RequestRecord.AttemptRecord;
 import tansypass.testbed.invariant.RunStatistics.End;
@@ -33,16 +34,15 @@
     private final DrainNotifications drainNotifications;
     private final AttemptInvariants attemptInvariants;
     private final NodeExcuses excuses = new NodeExcuses();
-    private final MembershipInvariantChecker members;
+    private final Optional<MembershipInvariantChecker> members;
     private int closedUnread;
 
     /** Creates a checker for one run of the scenario. */
     public InvariantChecker(Scenario scenario) {
         drainNotifications = new DrainNotifications(scenario.nodes().count());
         attemptInvariants = new AttemptInvariants(scenario, recorder, drainNotifications);
-        members = scenario.cluster() == null
-                ? null
-                : new MembershipInvariantChecker(recorder, scenario.cluster().periodUs());
+        members = Optional.ofNullable(scenario.cluster())
+                .map(cluster -> new MembershipInvariantChecker(recorder, cluster.periodUs()));
     }
 
     /** A client sent a request to a node and waits until {@code deadlineUs}. */
@@ -203,7 +203,7 @@
         drainNotifications.listed(nowUs, server, isDraining);
     }
 
-    /** A node's process started; it knows only what it is notified of from now on. */
+    /** A node's process started; what earlier processes were notified of does not count for it. */
     public void nodeStarted(long nowUs, int node) {
         recorder.trace(nowUs, "started", "node-" + node, 0);
         drainNotifications.nodeStarted(nowUs, node);
@@ -247,8 +247,8 @@
         });
     }
 
-    /** Returns the checker of the nodes' membership views, or null if the scenario has no cluster. */
-    public MembershipInvariantChecker members() {
+    /** Returns the checker of the nodes' membership views; empty if the scenario has no cluster. */
+    public Optional<MembershipInvariantChecker> members() {
         return members;
     }
 
--- a/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
@@ -6,15 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import tansypass.testbed.scenario.Scenario;
 
 /**
- * Checks the nodes' membership views. Nodes are numbers; an incarnation is whatever tells two processes of one
- * name apart. In virtual time it receives each change of a view, on real processes what polls show. Times are
+ * Checks the nodes' membership views. Nodes are numbers; an incarnation identifies one process of a
+ * node. In virtual time it receives each change of a view, on real processes what polls show. Times are
  * microseconds since the load began. Not thread-safe.
  */
 public final class MembershipInvariantChecker {
-    /** For how many periods after its end a fault excuses a member that is held to have failed. */
+    /** For how many periods after its end a fault excuses a member that is declared failed. */
     private static final int EXCUSED_PERIODS = 30;
     /** Views are equal so many periods after the last fault and the last start or exit of a process. */
     private static final int AGREE_PERIODS = 25;
@@ -68,7 +67,7 @@
         }
     }
 
-    /** What a view says of one member; its text, with the names of the components, is part of traces. */
+    /** The entry of one member in a view; its text, with the names of the components, is part of traces. */
     public record Line(int of, String life, String state, long incarnation) {
 
         /** Returns whether the member counts as present. */
@@ -82,9 +81,9 @@
         this.periodUs = periodUs;
     }
 
-    /** Returns whether a scenario with a cluster waits long enough at its end for views to be equal. */
-    public static boolean isAgreementDue(Scenario scenario) {
-        return scenario.settleUs() >= AGREE_PERIODS * scenario.cluster().periodUs();
+    /** Returns whether a run that waits so long after its load waits long enough for views to be equal. */
+    public boolean isAgreementDue(long settleUs) {
+        return settleUs >= AGREE_PERIODS * periodUs;
     }
 
     /** A fault of a node or of a link of it begins, or one that began ends. */
@@ -93,13 +92,14 @@
         excusedUntilUs.put(node, nowUs + EXCUSED_PERIODS * periodUs);
     }
 
-    /** Sets the incarnation of a node that is up, or null if it is not up. */
+    /** Sets the incarnation of a node that is up. */
     public void setLiveIncarnation(int node, String incarnation) {
-        if (incarnation == null) {
-            liveIncarnations.remove(node);
-        } else {
-            liveIncarnations.put(node, incarnation);
-        }
+        liveIncarnations.put(node, incarnation);
+    }
+
+    /** A node is not up. */
+    public void clearLiveIncarnation(int node) {
+        liveIncarnations.remove(node);
     }
 
     /** A node's process died without leaving the cluster. */
@@ -107,7 +107,7 @@
         if (liveIncarnations.containsKey(node)) {
             deaths.put(liveIncarnations.get(node), new Death(node, nowUs));
         }
-        setLiveIncarnation(node, null);
+        clearLiveIncarnation(node);
     }
 
     /** Returns all deaths without notice, in order. */
@@ -152,7 +152,7 @@
     /**
      * Checks at the end that each view has just those members present that are up.
      *
-     * @param views by node that is up, the nodes that its view holds to be present
+     * @param views by node that is up, the nodes that are present in its view
      */
     public void checkAgreement(long nowUs, Map<Integer, Set<Integer>> views) {
         Set<Integer> up = new TreeSet<>(views.keySet());
--- a/testbed/src/main/java/tansypass/testbed/invariant/TraceDigest.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/TraceDigest.java
@@ -18,7 +18,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new AssertionError("every Java platform has SHA-256", e);
         }
     }
 
@@ -43,7 +43,7 @@
             MessageDigest soFar = (MessageDigest) digest.clone();
             return HexFormat.of().formatHex(soFar.digest(), 0, Long.BYTES);
         } catch (CloneNotSupportedException e) {
-            throw new IllegalStateException("SHA-256 can be cloned", e);
+            throw new AssertionError("SHA-256 can be cloned", e);
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
@@ -8,7 +8,7 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * Applies faults to nodes, servers and links and tells the checker what they excuse. Subclasses reach the
+ * Applies faults to nodes, servers and links and notifies the checker of what they excuse. Subclasses reach the
  * servers and links of their kind of run. All calls come from the run's one thread.
  */
 public abstract class FaultInjector implements FaultSchedule.Target {
--- a/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
@@ -56,17 +56,17 @@
         if (first.equals("discovery")) {
             target.discoverySilence(begins);
         } else if (fault.kind().isLink()) {
-            for (int second : numbers(fault.target().get(1))) {
+            for (int second : numbers(scenario, fault.target().get(1))) {
                 if (first.equals("clients")) {
                     target.clientLinkFault(second, fault, begins);
                 } else {
-                    numbers(first).forEach(node -> applyToLink(node, second, fault, begins));
+                    numbers(scenario, first).forEach(node -> applyToLink(node, second, fault, begins));
                 }
             }
         } else if (first.startsWith("node")) {
-            numbers(first).forEach(node -> target.nodeFault(node, fault, begins));
+            numbers(scenario, first).forEach(node -> target.nodeFault(node, fault, begins));
         } else {
-            numbers(first).forEach(server -> target.serverFault(server, fault, begins));
+            numbers(scenario, first).forEach(server -> target.serverFault(server, fault, begins));
         }
     }
 
@@ -81,11 +81,10 @@
     /** Returns the links from nodes to servers that some fault is on, as node * servers + server. */
     public static List<Integer> faultyLinks(Scenario scenario) {
         List<Integer> links = new ArrayList<>();
-        FaultSchedule schedule = new FaultSchedule(scenario, null);
         for (Fault fault : scenario.faults()) {
             if (fault.kind().isLink() && fault.target().get(0).startsWith("node") && !fault.isOfMembers()) {
-                for (int node : schedule.numbers(fault.target().get(0))) {
-                    for (int server : schedule.numbers(fault.target().get(1))) {
+                for (int node : numbers(scenario, fault.target().get(0))) {
+                    for (int server : numbers(scenario, fault.target().get(1))) {
                         links.add(node * scenario.servers().count() + server);
                     }
                 }
@@ -96,15 +95,15 @@
 
     /** Returns the nodes whose link from the clients some fault is on. */
     public static List<Integer> faultyClientLinks(Scenario scenario) {
-        FaultSchedule schedule = new FaultSchedule(scenario, null);
         return scenario.faults().stream()
                 .filter(f -> f.target().get(0).equals("clients"))
-                .flatMap(f -> schedule.numbers(f.target().get(1)).stream())
+                .flatMap(f -> numbers(scenario, f.target().get(1)).stream())
                 .distinct()
                 .toList();
     }
 
-    private List<Integer> numbers(String name) {
+    /** Returns the numbers that a target such as {@code node-1} or {@code server-*} names. */
+    private static List<Integer> numbers(Scenario scenario, String name) {
         if (!name.endsWith("-*")) {
             return List.of(ProcessNames.numberOf(name));
         }
--- a/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
@@ -60,7 +60,7 @@
         this.filter = filter;
     }
 
-    /** Returns whether the filter lets anything pass from one node to the other. */
+    /** Returns whether the filter passes anything from one node to the other. */
     public boolean passes(int from, int to) {
         return filter.passes(from, to);
     }
--- a/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
+++ b/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
@@ -5,7 +5,6 @@
 import java.util.Set;
 import java.util.TreeMap;
 import tansypass.testbed.invariant.InvariantChecker;
-import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.scenario.Scenario;
 
 /** Checks at the end of a run that the membership views of its nodes are equal. */
@@ -19,9 +18,9 @@
      */
     public static void check(
             Scenario scenario, InvariantChecker checker, List<? extends NodeHandle> nodes, long nowUs) {
-        if (scenario.cluster() != null && MembershipInvariantChecker.isAgreementDue(scenario)) {
-            checker.members().checkAgreement(nowUs, presentByView(nodes));
-        }
+        checker.members()
+                .filter(members -> members.isAgreementDue(scenario.settleUs()))
+                .ifPresent(members -> members.checkAgreement(nowUs, presentByView(nodes)));
     }
 
     private static Map<Integer, Set<Integer>> presentByView(List<? extends NodeHandle> nodes) {
--- a/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongSupplier;
 import tansypass.cluster.runtime.Scheduler;
@@ -25,7 +26,7 @@
     private final int number;
     private final LongSupplier nowUs;
     private final Map<Fault, Excuse> linkExcuses = new HashMap<>();
-    private Excuse pauseExcuse;
+    private Optional<Excuse> pauseExcuse = Optional.empty();
     private int generation;
 
     /**
@@ -73,19 +74,19 @@
     /** Returns whether it has a process. */
     public abstract boolean isAlive();
 
-    /** Returns whether it is a running member, which all others have to hold to be present. */
+    /** Returns whether it is a running member, which has to be present in all other views. */
     protected abstract boolean isUp();
 
-    /** Returns the nodes that its membership view holds to be present; none if there is no view. */
+    /** Returns the nodes that are present in its membership view; none if there is no view. */
     protected abstract Set<Integer> presentMembers();
 
-    /** Stops its process (SIGSTOP), or lets it go on (SIGCONT). */
+    /** Stops its process (SIGSTOP), or resumes it (SIGCONT). */
     public abstract void pause(boolean on);
 
     /** Kills its process (SIGKILL). */
     public abstract void kill();
 
-    /** Tells its process to shut down (SIGTERM). */
+    /** Starts the graceful shutdown of its process (SIGTERM). */
     public abstract void terminate();
 
     /** Starts a process again once a fault that ended the old one is over. */
@@ -93,9 +94,7 @@
 
     /** A fault of its process or of a link to another node begins or ends. */
     public final void faultChanged(boolean begins) {
-        if (checker.members() != null) {
-            checker.members().faultChanged(number, begins, nowUs());
-        }
+        checker.members().ifPresent(members -> members.faultChanged(number, begins, nowUs()));
     }
 
     /** Its link from the clients has a fault from now on. */
@@ -110,14 +109,12 @@
 
     /** Excuses the node from now on because its process is stopped. */
     protected final void beginPauseExcuse() {
-        pauseExcuse = checker.excuseNode(nowUs(), number);
+        pauseExcuse = Optional.of(checker.excuseNode(nowUs(), number));
     }
 
     /** Ends the excuse of a stopped process, if there is one. */
     protected final void endPauseExcuse() {
-        if (pauseExcuse != null) {
-            pauseExcuse.end(nowUs());
-        }
+        pauseExcuse.ifPresent(excuse -> excuse.end(nowUs()));
     }
 
     /** Kills the present process if it has not ended in the time that it has for it after SIGTERM. */
--- a/testbed/src/main/java/tansypass/testbed/process/Capacity.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Capacity.java
@@ -17,13 +17,17 @@
 
     private Capacity() {}
 
-    /** Throws IllegalArgumentException that says how much this machine has. */
-    static void require(Scenario scenario) {
+    /**
+     * Checks memory and descriptors.
+     *
+     * @throws InsufficientResourcesException if this machine has too few
+     */
+    static void require(Scenario scenario) throws InsufficientResourcesException {
         long freeMb = freeMb();
         long fit = freeMb / NODE_MB;
         if (scenario.nodes().count() > fit) {
-            throw new IllegalArgumentException(scenario.nodes().count() + " nodes wanted, " + fit + " fit: " + freeMb
-                    + " MB are free and a node takes up to " + NODE_MB + " MB");
+            throw new InsufficientResourcesException(scenario.nodes().count() + " nodes wanted, " + fit + " fit: "
+                    + freeMb + " MB are free and a node takes up to " + NODE_MB + " MB");
         }
         long links = FaultSchedule.faultyLinks(scenario).size();
         // A client's connection has one descriptor here, one to a server too, and a link's two.
@@ -36,7 +40,7 @@
                 + DESCRIPTORS_SPARE;
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 && wanted > system.getMaxFileDescriptorCount()) {
-            throw new IllegalArgumentException("about " + wanted + " descriptors wanted, "
+            throw new InsufficientResourcesException("about " + wanted + " descriptors wanted, "
                     + system.getMaxFileDescriptorCount() + " allowed (ulimit -n)");
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/Channels.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Channels.java
@@ -11,7 +11,6 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
@@ -21,12 +20,16 @@
 
     private Channels() {}
 
-    /** Listens; throws IOException with the address if it cannot be bound. Not to be called on the loop. */
+    /**
+     * Listens. Not to be called on the loop.
+     *
+     * @throws AddressUnavailableException if the address can't be bound
+     */
     static Channel listen(EventLoop loop, InetSocketAddress address, Consumer<SocketChannel> opened)
-            throws IOException {
+            throws AddressUnavailableException {
         ChannelFuture bound = bind(loop, address, true, opened).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException(
+            throw new AddressUnavailableException(
                     "can't listen at " + text(address) + ": " + bound.cause().getMessage(), bound.cause());
         }
         return bound.channel();
--- a/testbed/src/main/java/tansypass/testbed/process/HttpPoller.java
+++ b/testbed/src/main/java/tansypass/testbed/process/HttpPoller.java
@@ -13,21 +13,22 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
 /** Sends one GET request on a connection of its own. */
 final class HttpPoller {
-    /** In place of a status: there was no response. */
-    static final int NONE = 0;
-
     private static final int TIMEOUT_MS = 1_000;
     private static final int MAX_BODY = 1 << 20;
 
     private HttpPoller() {}
 
-    /** Sends the request; the callback gets the status, or {@link #NONE}, and the body, once, on the loop. */
-    static void get(EventLoop loop, InetSocketAddress address, String path, BiConsumer<Integer, String> callback) {
+    /** A complete response. */
+    record Response(int status, String body) {}
+
+    /** Sends the request; the callback gets the response, or empty if there is none in time, once, on the loop. */
+    static void get(EventLoop loop, InetSocketAddress address, String path, Consumer<Optional<Response>> callback) {
         Channels.connect(
                         loop,
                         address,
@@ -41,16 +42,17 @@
                                         new ResponseHandler(path, callback)))
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        callback.accept(NONE, "");
+                        callback.accept(Optional.empty());
                     }
                 });
     }
 
     private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final String path;
-        private BiConsumer<Integer, String> callback;
+        private final Consumer<Optional<Response>> callback;
+        private boolean isCompleted;
 
-        ResponseHandler(String path, BiConsumer<Integer, String> callback) {
+        ResponseHandler(String path, Consumer<Optional<Response>> callback) {
             this.path = path;
             this.callback = callback;
         }
@@ -64,21 +66,21 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            complete(response.status().code(), response.content().toString(StandardCharsets.US_ASCII));
+            String body = response.content().toString(StandardCharsets.US_ASCII);
+            complete(Optional.of(new Response(response.status().code(), body)));
             ctx.close();
         }
 
-        private void complete(int status, String body) {
-            BiConsumer<Integer, String> pending = callback;
-            callback = null;
-            if (pending != null) {
-                pending.accept(status, body);
+        private void complete(Optional<Response> response) {
+            if (!isCompleted) {
+                isCompleted = true;
+                callback.accept(response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            complete(NONE, "");
+            complete(Optional.empty());
         }
 
         @Override
--- a/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
@@ -28,7 +28,11 @@
         this.claim = claim;
     }
 
-    /** Claims a network that no other run has; throws IOException if none is free. */
+    /**
+     * Claims a network that no other run has.
+     *
+     * @throws AddressUnavailableException if none is free
+     */
     static LoopbackAllocator claim() throws IOException {
         int start = (int) (ProcessHandle.current().pid() % NETWORKS);
         for (int i = 0; i < NETWORKS; i++) {
@@ -37,11 +41,12 @@
             try {
                 socket.bind(new InetSocketAddress(InetAddress.getByName("127." + network + ".0.1"), CLAIM_PORT));
                 return new LoopbackAllocator(network, socket);
-            } catch (IOException taken) {
+            } catch (IOException e) {
+                // Another run has it; the next one is tried.
                 socket.close();
             }
         }
-        throw new IOException("no loopback network is free: " + NETWORKS + " runs at once?");
+        throw new AddressUnavailableException("no loopback network is free: " + NETWORKS + " runs at once?");
     }
 
     private String host(int row, int number) {
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -10,7 +10,6 @@
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioDatagramChannel;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -46,7 +45,7 @@
     }
 
     /** Opens the proxy address of the next node, which itself listens at {@code owner}, not on the loop. */
-    void open(InetSocketAddress proxy, InetSocketAddress owner) throws IOException {
+    void open(InetSocketAddress proxy, InetSocketAddress owner) throws AddressUnavailableException {
         int number = owners.size();
         owners.add(owner);
         numberByHost.put(owner.getAddress().getHostAddress(), number);
@@ -57,8 +56,8 @@
                 .bind(proxy)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException(
-                    "can't take datagrams at " + proxy + ": " + bound.cause().getMessage());
+            throw new AddressUnavailableException(
+                    "can't take datagrams at " + proxy + ": " + bound.cause().getMessage(), bound.cause());
         }
         proxies.add(bound.channel());
         Channels.listen(loop, proxy, channel -> accept(number, channel));
--- /dev/null
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeStartException.java
@@ -0,0 +1,16 @@
+package tansypass.testbed.process;
+
+import java.io.IOException;
+
+/** Thrown if a node of a run does not become ready; the message names it, with the last lines of its log. */
+public final class NodeStartException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    NodeStartException(String message) {
+        super(message);
+    }
+
+    NodeStartException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
@@ -58,7 +58,7 @@
 
     @Override
     protected void applyToMemberLink(int first, int second, Fault fault, boolean begins) {
-        context.memberLinks().applyFault(first, second, fault, begins);
+        context.memberLinks().orElseThrow().applyFault(first, second, fault, begins);
     }
 
     @Override
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -1,9 +1,11 @@
 package tansypass.testbed.process;
 
 import java.net.InetSocketAddress;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.transport.ClusterTransport;
 import tansypass.testbed.invariant.Excuse;
+import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.NodeHandle;
 
@@ -25,7 +27,9 @@
     private final InetSocketAddress memberAddress;
     private NodeProcess process;
     private LoadGenerator clients;
-    private MembershipSnapshot view;
+    /** As last polled; empty before the first poll of a process. */
+    private Optional<MembershipSnapshot> view = Optional.empty();
+
     private boolean isReady;
     /** A fault has ended its process, and it was not started again yet. */
     private boolean isDown;
@@ -79,7 +83,7 @@
     /** Returns them by the last view that was polled. */
     @Override
     protected Set<Integer> presentMembers() {
-        return view == null ? Set.of() : view.present();
+        return view.map(MembershipSnapshot::present).orElse(Set.of());
     }
 
     @Override
@@ -95,9 +99,9 @@
     /** Polls the node's readiness from now on, as the client load balancer does. */
     void pollReadiness() {
         int polled = generation();
-        HttpPoller.get(context.loop, clientAddress, "/ready", (status, body) -> {
-            if (polled == generation() && status != HttpPoller.NONE) {
-                setReady(status == OK);
+        HttpPoller.get(context.loop, clientAddress, "/ready", response -> {
+            if (polled == generation()) {
+                response.ifPresent(received -> setReady(received.status() == OK));
             }
             long pauseUs = Math.max(READY_POLL_US, READY_POLL_PER_NODE_US * context.nodes.size());
             scheduler.after(pauseUs, this::pollReadiness);
@@ -120,32 +124,34 @@
     /** Polls the node's membership view from now on. */
     void pollView() {
         int polled = generation();
-        HttpPoller.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, (status, body) -> {
-            if (polled == generation() && status == OK && !process.isStopped()) {
-                view = MembershipSnapshot.read(number(), body);
-                checkView();
+        HttpPoller.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
+            if (polled == generation() && !process.isStopped()) {
+                response.filter(received -> received.status() == OK)
+                        .ifPresent(received -> setView(MembershipSnapshot.read(number(), received.body())));
             }
             long pauseUs = Math.max(VIEW_POLL_US, VIEW_POLL_PER_NODE_US * context.nodes.size());
             scheduler.after(pauseUs, this::pollView);
         });
     }
 
-    private void checkView() {
+    private void setView(MembershipSnapshot polled) {
+        view = Optional.of(polled);
+        checker.members().ifPresent(members -> checkView(members, polled));
+    }
+
+    private void checkView(MembershipInvariantChecker members, MembershipSnapshot polled) {
         if (!isDown) {
-            checker.members().setLiveIncarnation(number(), view.incarnation());
+            members.setLiveIncarnation(number(), polled.incarnation());
         }
         // Each line has the time since its last change: a poll now and then still gives the time of a change.
-        view.lines()
-                .forEach((line, forUs) ->
-                        checker.members().viewChanged(nowUs() - forUs, number(), view.incarnation(), line));
+        polled.lines()
+                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), polled.incarnation(), line));
     }
 
     private void processEnded() {
         nextGeneration();
-        if (checker.members() != null) {
-            checker.members().memberDied(number(), nowUs());
-            view = null;
-        }
+        checker.members().ifPresent(members -> members.memberDied(number(), nowUs()));
+        view = Optional.empty();
         isReady = false;
         clientLoadBalancer.nodeDied(number());
         endExcuseWithProcess(checker.excuseNode(nowUs(), number()));
@@ -176,9 +182,7 @@
     @Override
     public void terminate() {
         isDown = true;
-        if (checker.members() != null) {
-            checker.members().setLiveIncarnation(number(), null);
-        }
+        checker.members().ifPresent(members -> members.clearLiveIncarnation(number()));
         process.term();
         enforceTermination();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -56,12 +56,15 @@
      * @param command starts a node when its file is added
      * @param folder for files and logs
      * @param progress is notified each second, on the event loop
-     * @throws IllegalArgumentException if the machine has too few resources; nothing was started then
-     * @throws IOException if an address is taken or a node does not get ready
+     * @throws InsufficientResourcesException if the machine has too few resources; nothing was started then
+     * @throws AddressUnavailableException if an address is taken
+     * @throws NodeStartException if a node does not become ready
+     * @throws RunAbortedException if a fault can't be injected
+     * @throws IOException if a file can't be written or the testbed's own helper process can't be started
      */
     public static InvariantChecker run(
             Scenario scenario, long seed, List<String> command, Path folder, Progress progress)
-            throws IOException, InterruptedException {
+            throws IOException, InsufficientResourcesException, InterruptedException {
         Capacity.require(scenario);
         ProcessRun run = new ProcessRun(scenario, seed, progress);
         try (LoopbackAllocator hosts = LoopbackAllocator.claim();
@@ -72,14 +75,14 @@
             run.context.finished().get();
             run.shutDownNodes();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("the run failed", e.getCause());
+            throw new RunAbortedException("the run failed: " + e.getCause().getMessage(), e.getCause());
         } finally {
             run.close();
         }
         return run.checker;
     }
 
-    private void startNodes() throws IOException, InterruptedException {
+    private void startNodes() throws NodeStartException, InterruptedException {
         CompletableFuture<Void> ready = new CompletableFuture<>();
         context.loop.execute(() -> {
             context.nodes.forEach(node -> {
@@ -93,9 +96,9 @@
         try {
             ready.get(timeoutS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            throw new IOException("not ready within " + timeoutS + " s: " + notReady(), e);
+            throw new NodeStartException("not ready within " + timeoutS + " s: " + notReady(), e);
         } catch (ExecutionException e) {
-            throw new IOException(e.getCause().getMessage(), e);
+            throw new NodeStartException(e.getCause().getMessage(), e);
         }
     }
 
@@ -109,7 +112,7 @@
     private void awaitReady(CompletableFuture<Void> ready) {
         if (!checker.violations().isEmpty()) {
             ready.completeExceptionally(
-                    new IOException(checker.violations().get(0).description()));
+                    new NodeStartException(checker.violations().get(0).description()));
         } else if (context.nodes.stream().allMatch(ProcessNodeHandle::isReady)) {
             ready.complete(null);
         } else {
@@ -149,11 +152,12 @@
     private void checkNothingInFlight() {
         List<ProcessNodeHandle> ready =
                 context.nodes.stream().filter(ProcessNodeHandle::isReady).toList();
-        int[] unanswered = {ready.size()};
+        int[] pending = {ready.size()};
         for (ProcessNodeHandle node : ready) {
-            HttpPoller.get(context.loop, node.adminAddress(), "/_vars", (status, body) -> {
-                checkNothingInFlight(node, body);
-                if (--unanswered[0] == 0) {
+            HttpPoller.get(context.loop, node.adminAddress(), "/_vars", response -> {
+                checkNothingInFlight(
+                        node, response.map(HttpPoller.Response::body).orElse(""));
+                if (--pending[0] == 0) {
                     finish();
                 }
             });
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import tansypass.cluster.transport.EventLoopScheduler;
@@ -35,8 +36,8 @@
     final Map<Integer, Relay> clientLinks = new TreeMap<>();
 
     private final CompletableFuture<Void> finished = new CompletableFuture<>();
-    /** Null where no fault is on a link between nodes, which then exchange messages directly. */
-    private MembershipLinks memberLinks;
+    /** Empty where no fault is on a link between nodes, which then exchange messages directly. */
+    private Optional<MembershipLinks> memberLinks = Optional.empty();
 
     ProcessRunContext(Scenario scenario, long seed, EventLoop loop) {
         this.scenario = scenario;
@@ -56,22 +57,24 @@
 
     /** Returns where a node reaches a server. */
     InetSocketAddress serverAddress(int node, int server) {
-        Relay link = serverLinks.get(linkKey(node, server));
-        return link == null ? servers.get(server).address() : link.address();
+        return Optional.ofNullable(serverLinks.get(linkKey(node, server)))
+                .map(Relay::address)
+                .orElseGet(servers.get(server)::address);
     }
 
     /** Returns where clients reach a node. */
     InetSocketAddress clientAddress(ProcessNodeHandle node) {
-        Relay link = clientLinks.get(node.number());
-        return link == null ? node.clientAddress() : link.address();
+        return Optional.ofNullable(clientLinks.get(node.number()))
+                .map(Relay::address)
+                .orElseGet(node::clientAddress);
     }
 
-    MembershipLinks memberLinks() {
+    Optional<MembershipLinks> memberLinks() {
         return memberLinks;
     }
 
     void setMemberLinks(MembershipLinks links) {
-        memberLinks = links;
+        memberLinks = Optional.of(links);
     }
 
     /** Returns a future that completes when the run is over, or exceptionally when it cannot go on. */
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -8,6 +8,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
 import tansypass.cluster.runtime.RandomStreams;
@@ -52,7 +53,12 @@
         this.reaper = reaper;
     }
 
-    /** Opens everything; throws IOException if an address is taken or a file cannot be written. */
+    /**
+     * Opens everything.
+     *
+     * @throws AddressUnavailableException if an address is taken
+     * @throws IOException if a file can't be written
+     */
     void build() throws IOException {
         startServers();
         startServerLinks();
@@ -151,11 +157,11 @@
         if (scenario.cluster() == null) {
             return "";
         }
-        boolean isDirect = context.memberLinks() == null;
-        if (!isDirect) {
-            context.memberLinks().open(hosts.memberProxy(number), hosts.member(number));
+        Optional<MembershipLinks> links = context.memberLinks();
+        if (links.isPresent()) {
+            links.get().open(hosts.memberProxy(number), hosts.member(number));
         }
-        IntFunction<InetSocketAddress> advertised = node -> isDirect ? hosts.member(node) : hosts.memberProxy(node);
+        IntFunction<InetSocketAddress> advertised = links.isPresent() ? hosts::memberProxy : hosts::member;
         int seeds = Math.min(Scenario.SEED_MEMBERS, scenario.nodes().count());
         return NodeToml.membership(
                 scenario.cluster(),
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Forwards what is pending, as far as the link lets it. */
+    /** Forwards what is pending, as far as the link passes it. */
     void flush() {
         if (back != null) {
             there.flush();
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -12,8 +12,8 @@
 import tansypass.testbed.model.LinkState.Direction;
 
 /**
- * One direction of a relayed connection: forwards what it reads, each chunk when the {@link LinkState} lets it
- * out. It buffers a bounded number of bytes; past it the sender is not read, as for a full window. Lives on the
+ * One direction of a relayed connection: forwards what it reads, each chunk when the {@link LinkState} releases
+ * it. It buffers a bounded number of bytes; past it the sender is not read, as for a full window. Lives on the
  * relay's event loop.
  */
 final class RelayPipe extends ChannelInboundHandlerAdapter {
@@ -26,7 +26,7 @@
     private final Direction direction;
     /** Read, and not yet in transit because the link is cut. */
     private final Deque<ByteBuf> pending = new ArrayDeque<>();
-    /** In transit, with a timer each; a timer lets the oldest out, so that the order is kept. */
+    /** In transit, with a timer each; a timer releases the oldest, so that the order is kept. */
     private final Deque<Runnable> inTransit = new ArrayDeque<>();
 
     private RelayPipe reverse;
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -32,14 +32,15 @@
     /**
      * Measures each figure {@code runs} times, in turn, and returns medians, least and most as text.
      *
-     * @throws IOException if a measurement fails
+     * @throws BenchmarkException if a measurement fails or takes too long
+     * @throws IOException if a socket can't be opened
      */
     public static String measure(int runs) throws IOException, InterruptedException {
         TestbedBenchmark benchmark = new TestbedBenchmark();
         try {
             return benchmark.run(runs);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("a measurement failed: " + e, e);
+            throw new BenchmarkException("a measurement failed: " + e, e);
         } finally {
             benchmark.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
--- a/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
+++ b/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
@@ -90,7 +90,7 @@
         data.addSeries(worst);
     }
 
-    /** Curves can be told apart in black and white too: protocols by shade, medians and worst by dashes. */
+    /** Curves can be distinguished in black and white too: protocols by shade, medians and worst by dashes. */
     private static XYLineAndShapeRenderer renderer(int kindCount, boolean inLegend) {
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, true);
         BasicStroke dashed = new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_MITER, 1, DASHES, 0);
--- a/testbed/src/main/java/tansypass/testbed/report/Report.java
+++ b/testbed/src/main/java/tansypass/testbed/report/Report.java
@@ -8,6 +8,7 @@
 import java.util.function.ToLongFunction;
 import org.HdrHistogram.Histogram;
 import tansypass.testbed.invariant.InvariantChecker;
+import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.invariant.MembershipInvariantChecker.Death;
 import tansypass.testbed.invariant.RunStatistics;
 import tansypass.testbed.invariant.RunStatistics.End;
@@ -100,7 +101,7 @@
     }
 
     private List<Death> deaths() {
-        return checker.members() == null ? List.of() : checker.members().deaths();
+        return checker.members().map(MembershipInvariantChecker::deaths).orElse(List.of());
     }
 
     private static void line(StringBuilder to, String format, Object... values) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * How often members were held to have failed, in all views together.
+     * How often members were declared failed, in all views together.
      *
      * @param ofPausedMembers members that were paused repeatedly
      * @param ofOtherMembers members that were never paused
--- a/testbed/src/main/java/tansypass/testbed/simulation/MembershipFigure.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/MembershipFigure.java
@@ -18,7 +18,7 @@
     PUSH_PULL_BYTE_RATE("bytes a second of full exchanges"),
     /** CPU time, the network's model included, per second and member, in microseconds. */
     CPU_TIME("processor time a second of a process at rest, us"),
-    /** How often members were held to have failed before one did, in all views together. */
+    /** How often members were declared failed before one did fail, in all views together. */
     FALSE_POSITIVES("wrongly failed in 90 s");
 
     private final String reportName;
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -148,7 +148,7 @@
         members.get(number).process().kill();
     }
 
-    /** Stops a member's process (SIGSTOP), or lets it go on (SIGCONT). */
+    /** Stops a member's process (SIGSTOP), or resumes it (SIGCONT). */
     public void pause(int number, boolean on) {
         members.get(number).process().pause(on);
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
@@ -59,7 +59,7 @@
 
     @Override
     protected void applyToMemberLink(int first, int second, Fault fault, boolean begins) {
-        context.membership.applyFault(first, second, fault, begins);
+        context.membership.orElseThrow().applyFault(first, second, fault, begins);
     }
 
     @Override
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
@@ -32,7 +32,7 @@
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), PORT);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("four bytes are an address", e);
+            throw new AssertionError("four bytes are an address", e);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -21,9 +21,9 @@
     private final SimulatedCluster cluster;
     private final MembershipInvariantChecker checker;
 
-    SimulatedMembership(SimulationContext context) {
+    SimulatedMembership(SimulationContext context, MembershipInvariantChecker checker) {
         this.context = context;
-        checker = context.checker.members();
+        this.checker = checker;
         Scenario scenario = context.scenario;
         MembershipSettings settings = MembershipSettings.DEFAULT.withPeriod(
                 scenario.cluster().periodUs(), scenario.cluster().probeUs());
@@ -37,13 +37,13 @@
         cluster.setViewListener(new ViewListener() {
             @Override
             public void onUpdate(int viewer, Member entry) {
-                context.nodes.get(viewer).membershipChanged();
+                context.nodes.get(viewer).membershipChanged(view(viewer));
                 checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), line(entry));
             }
 
             @Override
             public void onReap(int viewer, Member reaped) {
-                context.nodes.get(viewer).membershipChanged();
+                context.nodes.get(viewer).membershipChanged(view(viewer));
             }
         });
     }
@@ -81,7 +81,7 @@
 
     void leave(int number) {
         cluster.leave(number);
-        checker.setLiveIncarnation(number, null);
+        checker.clearLiveIncarnation(number);
     }
 
     void kill(int number) {
@@ -93,7 +93,7 @@
         cluster.applyFault(first, second, fault, begins);
     }
 
-    /** Returns the nodes that a node's view holds to be present. */
+    /** Returns the nodes that are present in a node's view. */
     Set<Integer> presentMembers(int viewer) {
         return view(viewer).members().stream()
                 .filter(Member::isPresent)
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -1,8 +1,10 @@
 package tansypass.testbed.simulation;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.membership.ClusterSizeEstimator;
+import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.runtime.RandomStreams;
 import tansypass.testbed.model.EndpointRegistry;
 import tansypass.testbed.model.EndpointRegistry.State;
@@ -19,9 +21,13 @@
 
     private final SimulationContext context;
     private final SimulatedNodeNetwork network;
-    private SimulatedNode node;
-    private SimulatedProcess process;
-    private ClusterSizeEstimator clusterSize;
+    /** Empty if there is no process. */
+    private Optional<SimulatedNode> node = Optional.empty();
+    /** Empty before the first start; a dead one stays until the next start. */
+    private Optional<SimulatedProcess> process = Optional.empty();
+    /** Empty unless the node is a member of a cluster. */
+    private Optional<ClusterSizeEstimator> clusterSize = Optional.empty();
+
     private boolean isDraining;
     private boolean isStarting;
     private boolean restartsAfterDraining;
@@ -36,19 +42,19 @@
         return network;
     }
 
-    /** Returns the present process, or null before the first start; a dead one stays until the next start. */
+    /** Returns the present process, or the last one, which is dead; only to be called after the first start. */
     SimulatedProcess process() {
-        return process;
+        return process.orElseThrow();
     }
 
-    /** Returns the present node, or null if it has no process. */
+    /** Returns the present node; only to be called while it {@link #isAlive}. */
     SimulatedNode node() {
-        return node;
+        return node.orElseThrow();
     }
 
     @Override
     public boolean isAlive() {
-        return node != null;
+        return node.isPresent();
     }
 
     @Override
@@ -58,12 +64,12 @@
 
     @Override
     protected Set<Integer> presentMembers() {
-        return context.membership.presentMembers(number());
+        return context.membership.orElseThrow().presentMembers(number());
     }
 
     @Override
     protected boolean isPaused() {
-        return process.isPaused();
+        return process().isPaused();
     }
 
     /** Starts a process at once. */
@@ -75,44 +81,47 @@
         known.stream()
                 .filter(entry -> entry.state() != State.READY)
                 .forEach(entry -> checker.endpointNotified(nowUs(), number(), entry.number(), true));
-        process = new SimulatedProcess(context.queue);
-        node = new SimulatedNode(
-                process,
+        SimulatedProcess startedProcess = new SimulatedProcess(context.queue);
+        process = Optional.of(startedProcess);
+        SimulatedNode started = new SimulatedNode(
+                startedProcess,
                 network,
                 BalancerInputs.settings(scenario, number()),
                 RandomStreams.seedOf(context.seed, name() + "#" + generation()),
                 BalancerInputs.serverEntries(scenario, known),
                 context.parts);
+        node = Optional.of(started);
         context.clientLoadBalancer.nodeReady(number());
-        if (context.membership != null) {
-            context.membership.start(number());
-            clusterSize = new ClusterSizeEstimator(node::onClusterSize);
-        }
+        context.membership.ifPresent(membership -> joinCluster(membership, started));
+    }
+
+    private void joinCluster(SimulatedMembership membership, SimulatedNode started) {
+        membership.start(number());
+        clusterSize = Optional.of(new ClusterSizeEstimator(started::onClusterSize));
     }
 
     /** The node's own membership view has changed. */
-    void membershipChanged() {
-        if (clusterSize != null) {
-            clusterSize.update(context.membership.view(number()), 0);
-        }
+    void membershipChanged(MembershipView view) {
+        clusterSize.ifPresent(estimator -> estimator.update(view, 0));
     }
 
     /** Discovery notifies the node of a change. */
     void notifyOf(EndpointRegistry.WatchEvent event) {
-        if (node == null) {
+        if (!isAlive()) {
             return;
         }
+        SimulatedNode notified = node();
         for (EndpointRegistry.Entry entry : event.entries()) {
             checker.endpointNotified(nowUs(), number(), entry.number(), entry.state() != State.READY);
         }
-        process.deliver(() -> node.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
+        process().deliver(() -> notified.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
     }
 
     @Override
     public void restart() {
         if (isDraining) {
             restartsAfterDraining = true;
-        } else if (node == null && !isStarting) {
+        } else if (!isAlive() && !isStarting) {
             isStarting = true;
             int starting = generation();
             context.queue.after(START_US, () -> {
@@ -125,32 +134,30 @@
 
     @Override
     public void pause(boolean on) {
-        if (on && node != null && !process.isPaused()) {
-            process.pause(true);
+        if (on && isAlive() && !isPaused()) {
+            process().pause(true);
             pauseMember(true);
             beginPauseExcuse();
-        } else if (!on && process.isPaused()) {
+        } else if (!on && isPaused()) {
             endPauseExcuse();
-            process.pause(false);
+            process().pause(false);
             pauseMember(false);
         }
     }
 
     private void pauseMember(boolean on) {
-        if (context.membership != null) {
-            context.membership.pause(number(), on);
-        }
+        context.membership.ifPresent(membership -> membership.pause(number(), on));
     }
 
     /** Kills its process, also one that is just starting. */
     @Override
     public void kill() {
         isStarting = false;
-        if (node == null) {
+        if (!isAlive()) {
             nextGeneration();
             return;
         }
-        if (process.isPaused()) {
+        if (isPaused()) {
             endPauseExcuse();
         }
         int killed = generation();
@@ -161,13 +168,11 @@
     }
 
     private void processEnded() {
-        node.stop();
-        if (context.membership != null) {
-            context.membership.kill(number());
-        }
-        process.kill();
-        node = null;
-        clusterSize = null;
+        node().stop();
+        context.membership.ifPresent(membership -> membership.kill(number()));
+        process().kill();
+        node = Optional.empty();
+        clusterSize = Optional.empty();
         nextGeneration();
         isDraining = false;
         if (restartsAfterDraining) {
@@ -176,16 +181,14 @@
         }
     }
 
-    /** Accepts requests for some time still, answers all of them, and ends. */
+    /** Accepts requests for some time still, responds to all of them, and ends. */
     @Override
     public void terminate() {
-        if (node == null || isDraining) {
+        if (!isAlive() || isDraining) {
             return;
         }
         isDraining = true;
-        if (context.membership != null) {
-            context.membership.leave(number());
-        }
+        context.membership.ifPresent(membership -> membership.leave(number()));
         context.clientLoadBalancer.nodeNotReady(number());
         int terminating = generation();
         context.queue.after(ACCEPT_WHILE_DRAINING_US, () -> endWhenDrained(terminating));
@@ -196,7 +199,7 @@
         if (generation() != terminating) {
             return;
         }
-        if (!process.isPaused() && node.inFlight() == 0) {
+        if (!isPaused() && node().inFlight() == 0) {
             processEnded();
         } else {
             context.queue.after(DRAINED_CHECK_US, () -> endWhenDrained(terminating));
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulationContext.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulationContext.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.EndpointRegistry;
@@ -21,7 +22,8 @@
     final SimulatedClients clients;
     final List<SimulatedServer> servers = new ArrayList<>();
     final List<SimulatedNodeHandle> nodes = new ArrayList<>();
-    final SimulatedMembership membership;
+    /** Empty if the scenario has no cluster. */
+    final Optional<SimulatedMembership> membership;
 
     SimulationContext(Scenario scenario, long seed, NodeParts parts) {
         this.scenario = scenario;
@@ -35,7 +37,7 @@
             servers.add(new SimulatedServer(number, scenario, seed, queue));
             registry.put(ProcessNames.server(number), number, State.READY, 0);
         }
-        membership = scenario.cluster() == null ? null : new SimulatedMembership(this);
+        membership = checker.members().map(members -> new SimulatedMembership(this, members));
         for (int number = 0; number < scenario.nodes().count(); number++) {
             nodes.add(new SimulatedNodeHandle(number, this));
         }
--- a/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
@@ -16,7 +16,7 @@
 
     private final InvariantChecker checker =
             new InvariantChecker(TestScenarios.of(TestScenarios.SMALL.replace("[clients]", "[fleet]\n[clients]")));
-    private final MembershipInvariantChecker members = checker.members();
+    private final MembershipInvariantChecker members = checker.members().orElseThrow();
 
     @BeforeEach
     void startMembers() {
