--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -33,7 +33,10 @@
     private final TokenBucket[] quotas;
     private final RunningMean meanPriorityWeight = new RunningMean(ResponseStatistics.MEAN_GAIN, 0);
     private final StablePriorityQueue<PendingRequest> queue = new StablePriorityQueue<>(PendingRequest::priority);
+    /** In the present pass over the queue. */
     private Availability availability = Availability.ANY;
+
+    /** Whether the present pass over the queue has lowered a priority, so that the queue must be sorted. */
     private boolean priorityLowered;
 
     AdmissionQueue(
@@ -135,8 +138,9 @@
         boolean late = isLate(pending, nowUs);
         if (isExpired(pending, late, nowUs)) {
             requests.reject(pending, nowUs);
-        } else if (late && !pending.isLate()) {
-            lowerPriority(pending);
+        } else if (late && !pending.isPriorityLowered()) {
+            pending.lowerPriority();
+            priorityLowered = true;
         } else if (canBeSent(pending)) {
             trySendQueued(pending, nowUs);
         }
@@ -156,11 +160,6 @@
         return pending.objectiveAtUs() - nowUs < Math.min(maxLateUs, neededUs);
     }
 
-    private void lowerPriority(PendingRequest pending) {
-        pending.markLate();
-        priorityLowered = true;
-    }
-
     private boolean canBeSent(PendingRequest pending) {
         return switch (availability) {
             case ANY -> true;
--- a/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
+++ b/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
@@ -91,6 +91,19 @@
         return server.limit.isReached(server.inFlight()) || isTotalLimitReached();
     }
 
+    /** Records that a request was not sent because a limit was reached: only then may the server's limit grow. */
+    void recordLimitReached(Server server, long nowUs) {
+        server.limit.recordReached(nowUs);
+    }
+
+    /** Scales all limits: this node's share of the servers has changed. */
+    void scaleLimits(double factor) {
+        for (Server server : servers.tracked()) {
+            server.limit.scale(factor);
+        }
+        servers.recountInUse();
+    }
+
     /** A burst is allowed gradually with a new node's first responses, and less the fewer responses are in time. */
     private boolean isTotalLimitReached() {
         int inFlight = servers.inFlight();
--- a/node/src/main/java/tansypass/balancer/EndpointTable.java
+++ b/node/src/main/java/tansypass/balancer/EndpointTable.java
@@ -1,5 +1,7 @@
 package tansypass.balancer;
 
+import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -52,9 +54,9 @@
             listed.add(server);
         }
         if (entry.startedAtUs() > server.startedAtUs()) {
-            server.restart(entry.startedAtUs(), clusterSize.nodes());
             // All nodes learn of a start at the same time, so a random budget keeps them from all sending at once.
-            server.slowStart.start(random.nextDouble(), nowUs);
+            double budget = random.nextDouble();
+            server.restart(entry.startedAtUs(), clusterSize.nodes(), budget, nowUs);
         }
         server.update(entry);
     }
@@ -69,9 +71,9 @@
         return listed.size();
     }
 
-    /** Number of servers that are remembered: those on the list, and removed ones that hold a request. */
-    int trackedCount() {
-        return byId.size();
+    /** The servers that are remembered: those on the list, and removed ones that hold a request. */
+    Collection<Server> tracked() {
+        return Collections.unmodifiableCollection(byId.values());
     }
 
     /** The ready servers in list order, ejected ones included; not to be changed by the caller. */
@@ -109,12 +111,6 @@
         }
     }
 
-    /** Scales all limits: this node's share of the servers has changed. */
-    void scaleLimits(double factor) {
-        byId.values().forEach(server -> server.limit.scale(factor));
-        recountInUse();
-    }
-
     /** Sums up the servers in use. Requests stuck at an ejected or removed server do not count against the others. */
     void recountInUse() {
         totalLimit = 0;
--- a/node/src/main/java/tansypass/balancer/PendingRequest.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequest.java
@@ -43,7 +43,7 @@
     private boolean bodyReplayable = true;
     private double priorityWeight;
     private double priority;
-    private boolean late;
+    private boolean priorityLowered;
     private int probesInFlight;
     private long probeDeadlineAtUs;
 
@@ -207,14 +207,14 @@
         priority = weightPerWork;
     }
 
-    /** Whether its priority was lowered since it is unlikely to meet its latency objective. */
-    boolean isLate() {
-        return late;
+    /** Whether its priority was lowered, since it is unlikely to meet its latency objective. */
+    boolean isPriorityLowered() {
+        return priorityLowered;
     }
 
     /** Lowers its priority by the residual weight of its class. */
-    void markLate() {
-        late = true;
+    void lowerPriority() {
+        priorityLowered = true;
         priority *= requestClass.residualWeight();
     }
 
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -17,6 +17,7 @@
     /** Sum of failure rates above which a pair is not probed: a server that fails fast responds to probes fast too. */
     private static final double MAX_FAILURE_RATE = 0.1;
 
+    /** Servers that are drawn and probed for a request. */
     private static final int PROBES_PER_REQUEST = 2;
 
     private final BalancerSettings settings;
@@ -83,7 +84,7 @@
         return true;
     }
 
-    /** Whether probes are allowed, and what this node knows of a server is too old to compare it by. */
+    /** Whether probes are allowed, and nodes so many that what this node knows of a server is too old. */
     private boolean isEnabled() {
         return settings.probes() && clusterSize.nodes() > servers.ready().length;
     }
--- a/node/src/main/java/tansypass/balancer/Server.java
+++ b/node/src/main/java/tansypass/balancer/Server.java
@@ -3,7 +3,8 @@
 /**
  * One server as this node knows it: its entry on the endpoint list, which {@link EndpointTable} sets, its count of
  * errors, which {@link ErrorWeights} keeps, its attempts in flight, which {@link EndpointTable} counts, and the state of
- * the parts of the load balancer, each of which owns its own. Times are microseconds of the caller's clock.
+ * the parts of the load balancer. Only the owner of a state changes it, but for {@link #restart} and {@link #resetHealth}.
+ * Times are microseconds of the caller's clock.
  */
 final class Server {
     /** Power of the listed weight: busy to the same degree, a large server still responds sooner than a small one. */
@@ -62,10 +63,16 @@
         state = ServerState.GONE;
     }
 
-    /** The server has started anew: what was counted against its last process does not hold for this one. */
-    void restart(long atUs, int nodes) {
-        startedAtUs = atUs;
+    /**
+     * The server has started anew: what was recorded of its last process does not hold for this one.
+     *
+     * @param nodes number of nodes that share the server
+     * @param slowStartRequests its first slow-start budget
+     */
+    void restart(long restartedAtUs, int nodes, double slowStartRequests, long nowUs) {
+        startedAtUs = restartedAtUs;
         resetHealth(nodes);
+        slowStart.start(slowStartRequests, nowUs);
     }
 
     /** Forgets the server's failures and ejection, and gives it the limit of a new one. */
--- a/node/src/main/java/tansypass/balancer/ServerAdmission.java
+++ b/node/src/main/java/tansypass/balancer/ServerAdmission.java
@@ -23,7 +23,7 @@
             return false;
         }
         if (limiter.isLimitReached(server)) {
-            server.limit.recordReached(nowUs);
+            limiter.recordLimitReached(server, nowUs);
             return false;
         }
         return tryAdmitUnlimited(pending, server, nowUs);
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -17,6 +17,7 @@
     private final EndpointSubscription subscription;
     private final SlowStart slowStart;
     private final ClientThrottle throttle;
+    private final ConcurrencyLimiter limiter;
     private final RetryRules rules;
     private final ServerSelector selector;
     private final PendingRequests requests;
@@ -50,8 +51,7 @@
         slowStart = new SlowStart(settings, servers, responses);
         OutlierEjection ejection = new OutlierEjection(clusterSize, servers, weights, random, notifier);
         RelativeLatencies latencies = new RelativeLatencies(settings, servers, responses, connections);
-        ConcurrencyLimiter limiter =
-                new ConcurrencyLimiter(settings, clusterSize, servers, responses, slowStart, throttle);
+        limiter = new ConcurrencyLimiter(settings, clusterSize, servers, responses, slowStart, throttle);
         ServerAdmission admission = new ServerAdmission(slowStart, limiter, throttle, rules);
         selector = new ServerSelector(settings, servers, weights, latencies, admission, random);
         sender = new AttemptSender(actions, servers, rules, responses, slowStart, throttle, connections);
@@ -83,7 +83,7 @@
     public void onClusterSize(long nowUs, int present, int lost) {
         int nodesBefore = clusterSize.nodes();
         clusterSize.update(present, lost);
-        servers.scaleLimits((double) nodesBefore / clusterSize.nodes());
+        limiter.scaleLimits((double) nodesBefore / clusterSize.nodes());
         dispatchQueued(nowUs);
     }
 
@@ -239,7 +239,7 @@
 
     /** Number of servers that are remembered, removed ones that hold a request included. */
     int trackedServerCount() {
-        return servers.trackedCount();
+        return servers.tracked().size();
     }
 
     @Override
--- a/node/src/test/java/tansypass/node/BalancerLogTest.java
+++ b/node/src/test/java/tansypass/node/BalancerLogTest.java
@@ -16,11 +16,16 @@
     /** Held, since the logging system keeps loggers by weak references. */
     private final Logger logger = Logger.getLogger("tansypass.balancer.LoadBalancer");
 
+    /** Nodes of other tests may still log on threads of their own. */
+    private final Thread testThread = Thread.currentThread();
+
     private final List<String> lines = new ArrayList<>();
     private final Handler handler = new Handler() {
         @Override
         public void publish(LogRecord entry) {
-            lines.add(entry.getMessage());
+            if (Thread.currentThread() == testThread) {
+                lines.add(entry.getMessage());
+            }
         }
 
         @Override
