--- a/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
+++ b/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
@@ -10,6 +10,7 @@
 import java.util.function.Consumer;
 import tansypass.balancer.LoadBalancer;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.logging.LogEvent;
 
 /**
  * Calls the decision module, which is not re-entrant: one call at a time, in the order of the events. It owns
@@ -96,7 +97,7 @@
         try {
             call.action.accept(balancer);
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "balancer call failed", e);
+            LOG.log(Level.ERROR, LogEvent.BALANCER_CALL_FAILED.line(), e);
             if (call.failureListener != null) {
                 call.failureListener.onBalancerFailure();
             }
--- a/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
+++ b/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
@@ -14,6 +14,7 @@
 import tansypass.node.discovery.EndpointList;
 import tansypass.node.discovery.EndpointWatch;
 import tansypass.node.discovery.ExponentialBackoff;
+import tansypass.node.logging.LogEvent;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
@@ -110,7 +111,7 @@
     public void onWatchFailed(String reason) {
         if (!reason.equals(lastFailure)) {
             // Each reason is logged once: while discovery is down the watch fails several times a second.
-            LOG.log(Level.INFO, "discovery watch failed reason={0}", reason);
+            LOG.log(Level.INFO, LogEvent.DISCOVERY_WATCH_FAILED.line(reason));
             lastFailure = reason;
         }
         balancer.execute(b -> b.onDiscoveryFailure(balancer.nowUs()));
--- a/node/src/main/java/tansypass/node/frontend/ClientConnection.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnection.java
@@ -14,6 +14,7 @@
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.RequestDecoder;
 import tansypass.node.http.ResponseFactory;
+import tansypass.node.logging.LogEvent;
 
 /**
  * A client's connection, which serves one request at a time. It connects the parts: {@link RequestReader},
@@ -231,7 +232,7 @@
             return;
         }
         // A fault of this node: a request in flight still gets its response.
-        LOG.log(Level.ERROR, "client connection failed client=" + channel.remoteAddress(), cause);
+        LOG.log(Level.ERROR, LogEvent.CLIENT_CONNECTION_FAILED.line(channel.remoteAddress()), cause);
         if (inFlight != null && !inFlight.isAnswered()) {
             inFlight.fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
         } else {
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -24,6 +24,7 @@
 import tansypass.node.frontend.HttpFrontend;
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
+import tansypass.node.logging.LogEvent;
 import tansypass.node.request.RequestDispatcher;
 import tansypass.node.upstream.UpstreamConnectionPool;
 import tansypass.node.warmup.WarmUp;
@@ -162,8 +163,8 @@
         // The first log line costs 50 ms of processor time, which clients must not wait for.
         LOG.log(
                 Level.INFO,
-                "warm-up complete known_servers="
-                        + config.initialEndpoints().endpoints().size());
+                LogEvent.WARM_UP_COMPLETE.line(
+                        config.initialEndpoints().endpoints().size()));
         ChannelFuture binding = frontend.listen(group, config.listen());
         binding.addListener(done -> {
             if (done.isSuccess()) {
@@ -207,7 +208,7 @@
 
     /** Applies the discovery agent's address, the only setting that may change without a restart. */
     public void reload(NodeConfig changed) {
-        LOG.log(Level.INFO, "configuration reloaded discovery={0}", changed.discovery());
+        LOG.log(Level.INFO, LogEvent.CONFIGURATION_RELOADED.line(changed.discovery()));
         endpoints.setDiscoveryAddress(changed.discovery());
     }
 
--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -15,6 +15,7 @@
 import tansypass.node.frontend.Exchange;
 import tansypass.node.http.ResponseBodySink;
 import tansypass.node.http.UpstreamResponse;
+import tansypass.node.logging.LogEvent;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
@@ -144,8 +145,7 @@
         if (!ended) {
             LOG.log(
                     Level.WARNING,
-                    "request deadline exceeded without a response request="
-                            + HexFormat.of().toHexDigits(id));
+                    LogEvent.REQUEST_DEADLINE_EXCEEDED.line(HexFormat.of().toHexDigits(id)));
             fail(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
             notifyClientDisconnect();
         }
--- a/node/src/main/java/tansypass/node/request/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/request/RequestDispatcher.java
@@ -12,6 +12,7 @@
 import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.balancing.EndpointListAdapter;
 import tansypass.node.frontend.Exchange;
+import tansypass.node.logging.LogEvent;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
@@ -75,8 +76,7 @@
         if (request == null) {
             LOG.log(
                     Level.ERROR,
-                    "balancer sent an unknown request request=" + HexFormat.of().toHexDigits(requestId) + " server="
-                            + serverId);
+                    LogEvent.UNKNOWN_REQUEST_SENT.line(HexFormat.of().toHexDigits(requestId), serverId));
             return;
         }
         request.sendAttempt(pool, serverId, deadlineUs);
