--- a/node/src/main/java/tansypass/node/endpoint/EndpointList.java
+++ b/node/src/main/java/tansypass/node/endpoint/EndpointList.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import tansypass.balancer.ServerState;
+import tansypass.node.logging.LogEvent;
 
 /**
  * A list of endpoints as discovery gives it: a snapshot of all of them, or the changes since the previous revision.
@@ -48,11 +49,7 @@
             }
         }
         if (conflictingId != null) {
-            LOG.log(
-                    Level.WARNING,
-                    "conflicting entries in endpoint list, last one wins: revision={0} server={1}",
-                    Long.toString(revision),
-                    conflictingId);
+            LOG.log(Level.WARNING, LogEvent.CONFLICTING_ENDPOINTS.line(revision, conflictingId));
         }
         return new EndpointList(revision, isSnapshot, List.copyOf(endpoints.values()));
     }
--- a/node/src/main/java/tansypass/node/request/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/request/RequestDispatcher.java
@@ -13,6 +13,7 @@
 import tansypass.node.balancing.BalancerExecutor;
 import tansypass.node.balancing.EndpointListAdapter;
 import tansypass.node.frontend.Exchange;
+import tansypass.node.logging.LogEvent;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
@@ -77,8 +78,7 @@
         if (request == null) {
             LOG.log(
                     Level.ERROR,
-                    "balancer sent an unknown request request=" + HexFormat.of().toHexDigits(requestId) + " server="
-                            + serverId);
+                    LogEvent.UNKNOWN_REQUEST_SENT.line(HexFormat.of().toHexDigits(requestId), serverId));
             return;
         }
         request.sendAttempt(pool, serverId, deadlineUs);
@@ -133,16 +133,16 @@
 
     @Override
     public void onNoServerReady(int listed) {
-        BALANCER_LOG.log(Level.INFO, "no server ready listed=" + listed);
+        BALANCER_LOG.log(Level.INFO, LogEvent.NO_SERVER_READY.line(listed));
     }
 
     @Override
     public void onServerEjected(String serverId, int failures) {
-        BALANCER_LOG.log(Level.INFO, "server ejected server=" + serverId + " failures=" + failures);
+        BALANCER_LOG.log(Level.INFO, LogEvent.SERVER_EJECTED.line(serverId, failures));
     }
 
     @Override
     public void onServerRestored(String serverId) {
-        BALANCER_LOG.log(Level.INFO, "server restored server=" + serverId);
+        BALANCER_LOG.log(Level.INFO, LogEvent.SERVER_RESTORED.line(serverId));
     }
 }
