--- a/cli/src/main/java/tansypass/cli/Membership.java
+++ b/cli/src/main/java/tansypass/cli/Membership.java
@@ -68,25 +68,26 @@
         public void onUpdate(Optional<Member> before, Member after) {
             boolean isUnchangedState =
                     before.isPresent() && after.state() == before.get().state();
-            logChange(
-                    isUnchangedState ? LOG.atDebug() : LOG.atInfo(),
-                    after,
-                    after.state().name().toLowerCase(Locale.ROOT));
+            withEvent(
+                            isUnchangedState ? LOG.atDebug() : LOG.atInfo(),
+                            after.state().name().toLowerCase(Locale.ROOT),
+                            after)
+                    .log("member state changed");
         }
 
         @Override
         public void onReap(Member reaped) {
-            logChange(LOG.atInfo(), reaped, "forgotten");
+            withEvent(LOG.atInfo(), "forgotten", reaped).log("member removed from view");
         }
 
-        private static void logChange(LoggingEventBuilder event, Member member, String state) {
-            event.addKeyValue("event", "member." + state)
+        /** Adds the name of the event, which scripts read, and the member. */
+        private static LoggingEventBuilder withEvent(LoggingEventBuilder line, String event, Member member) {
+            return line.addKeyValue("event", "member." + event)
                     .addKeyValue("member", member.identity().name())
                     .addKeyValue("generation", member.identity().generation())
                     .addKeyValue("incarnation", member.incarnation())
                     .addKeyValue("zone", member.identity().zone())
-                    .addKeyValue("by", member.suspectedBy())
-                    .log("member state changed to {}", state);
+                    .addKeyValue("by", member.suspectedBy());
         }
     }
 }
--- a/cli/src/test/java/tansypass/cli/MembersTest.java
+++ b/cli/src/test/java/tansypass/cli/MembersTest.java
@@ -143,6 +143,16 @@
         assertEquals(0, processes.get(2).waitFor());
         for (int i : new int[] {0, 1, 3}) {
             await(i, List.of(line(2, "left")));
+            awaitLogLine(i, "member state changed event=\"member.left\" member=\"n2\"");
+        }
+    }
+
+    private void awaitLogLine(int node, String expected) throws Exception {
+        Path log = folder.resolve("n" + node + ".log");
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (!Files.readString(log).contains(expected)) {
+            assertTrue(System.nanoTime() < deadlineNs, "never " + expected + " but " + Files.readString(log));
+            processes.get(node).waitFor(50, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -124,7 +124,7 @@
         LOG.atInfo()
                 .addKeyValue("event", "run.started")
                 .addKeyValue("scenario", scenario.name())
-                .log("all nodes are ready");
+                .log("run started");
         context.clock.begin();
         new FaultSchedule(scenario, new ProcessFaultInjector(context)).start(context.scheduler);
         if (scenario.cluster() != null) {
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -10,6 +10,7 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.runtime.Scheduler;
 import tansypass.testbed.model.LinkState;
@@ -31,8 +32,8 @@
     private InetSocketAddress address;
     private Channel listener;
     private boolean isBinding;
-    /** In place of {@link #listener} while handshakes get no response; null otherwise. */
-    private UnresponsiveListener unresponsive;
+    /** In place of {@link #listener} while handshakes get no response; empty otherwise. */
+    private Optional<UnresponsiveListener> unresponsive = Optional.empty();
 
     Relay(EventLoop loop, Scheduler scheduler, LinkState state, InetSocketAddress target) {
         this.loop = loop;
@@ -70,7 +71,7 @@
 
     /** Returns whether a handshake gets no response now. */
     boolean blocksHandshakes() {
-        return unresponsive != null;
+        return unresponsive.isPresent();
     }
 
     /**
@@ -78,7 +79,7 @@
      * in which connections are refused.
      */
     private void updateListener() {
-        if (state.blocksHandshakes() && unresponsive == null) {
+        if (state.blocksHandshakes() && unresponsive.isEmpty()) {
             stopResponding();
         } else if (!state.blocksHandshakes() && !listener.isOpen() && !isBinding) {
             listenAgain();
@@ -88,7 +89,7 @@
     private void stopResponding() {
         listener.close();
         try {
-            unresponsive = new UnresponsiveListener(address);
+            unresponsive = Optional.of(new UnresponsiveListener(address));
         } catch (BindException e) {
             // The selector releases a closed socket only in its next turn.
             scheduler.after(REBIND_RETRY_US, this::updateListener);
@@ -98,10 +99,8 @@
     }
 
     private void listenAgain() {
-        if (unresponsive != null) {
-            unresponsive.close();
-            unresponsive = null;
-        }
+        unresponsive.ifPresent(UnresponsiveListener::close);
+        unresponsive = Optional.empty();
         isBinding = true;
         Channels.bind(loop, address, true, this::accept).addListener(done -> {
             isBinding = false;
@@ -127,9 +126,7 @@
     /** Resets all connections and listens no more. */
     void close() {
         listener.close();
-        if (unresponsive != null) {
-            unresponsive.close();
-        }
+        unresponsive.ifPresent(UnresponsiveListener::close);
         List.copyOf(connections).forEach(RelayConnection::reset);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
@@ -22,7 +22,9 @@
     private final boolean isFirstOnConnection;
     private final SimulatedNetwork.Callback callback;
     private final SimulatedProcess sender;
-    private WebServer.Execution execution;
+    /** Empty until the message arrives. */
+    private Optional<WebServer.Execution> execution = Optional.empty();
+
     private int attempt = NO_ATTEMPT;
     private boolean hasArrived;
     private boolean isOver;
@@ -63,8 +65,8 @@
         }
         hasArrived = true;
         attempt = checker.attemptStarted(queue.nowUs(), id, server.number());
-        execution = server.model()
-                .serve(context.clients.classOf(id), Optional.of(id), isFirstOnConnection, this::sendResponse);
+        execution = Optional.of(server.model()
+                .serve(context.clients.classOf(id), Optional.of(id), isFirstOnConnection, this::sendResponse));
     }
 
     private void sendResponse(WebServer.Response response) {
@@ -102,7 +104,7 @@
         }
         end(false);
         if (!link.isHalfOpen()) {
-            sender.deliver(() -> callback.onComplete(AttemptResult.RESET, 0, null));
+            sender.deliver(() -> callback.onComplete(AttemptResult.RESET, 0, ""));
         }
     }
 
@@ -121,9 +123,7 @@
         if (isOver) {
             return;
         }
-        if (execution != null) {
-            execution.cancel();
-        }
+        execution.ifPresent(WebServer.Execution::cancel);
         end(false);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedAttempt.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedAttempt.java
@@ -1,5 +1,6 @@
 package tansypass.testbed.simulation;
 
+import java.util.Optional;
 import tansypass.balancer.AttemptOutcome;
 import tansypass.balancer.AttemptResult;
 import tansypass.cluster.runtime.Scheduler;
@@ -15,8 +16,11 @@
     private final int number;
     private final String server;
     private final long startedUs;
-    private Scheduler.Timer deadlineTimer;
-    private SimulatedNetwork.OutboundRequest outbound;
+    /** Empty until the attempt starts. */
+    private Optional<Scheduler.Timer> deadlineTimer = Optional.empty();
+    /** Empty until the request is written. */
+    private Optional<SimulatedNetwork.OutboundRequest> outbound = Optional.empty();
+
     private boolean isWritten;
     private boolean isOver;
 
@@ -39,10 +43,10 @@
     void start(long attemptDeadlineUs) {
         long endUs = Math.min(attemptDeadlineUs <= 0 ? Long.MAX_VALUE : attemptDeadlineUs, request.deadlineUs());
         if (request.isOver() || scheduler.nowUs() >= endUs) {
-            end(AttemptResult.NOT_SENT, null);
+            endWithoutResponse(AttemptResult.NOT_SENT);
             return;
         }
-        deadlineTimer = scheduler.after(endUs - scheduler.nowUs(), this::timeOut);
+        deadlineTimer = Optional.of(scheduler.after(endUs - scheduler.nowUs(), this::timeOut));
         if (node.connections().acquire(server)) {
             write(false);
         } else {
@@ -51,12 +55,12 @@
     }
 
     private void timeOut() {
-        end(isWritten ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, null);
+        endWithoutResponse(isWritten ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED);
     }
 
     private void connect() {
         Scheduler.Timer connectTimer =
-                scheduler.after(node.connectTimeoutUs(), () -> end(AttemptResult.CONNECT_FAILED, null));
+                scheduler.after(node.connectTimeoutUs(), () -> endWithoutResponse(AttemptResult.CONNECT_FAILED));
         node.network().connect(server, (result, status, body) -> {
             connectTimer.cancel();
             onConnected(result);
@@ -71,13 +75,13 @@
         } else if (result == AttemptResult.OK) {
             write(true);
         } else {
-            end(result, null);
+            endWithoutResponse(result);
         }
     }
 
     private void write(boolean isFirstOnConnection) {
         isWritten = true;
-        outbound = node.network().send(server, request.id(), isFirstOnConnection, this::onResponse);
+        outbound = Optional.of(node.network().send(server, request.id(), isFirstOnConnection, this::onResponse));
     }
 
     private void onResponse(AttemptResult result, int status, String body) {
@@ -88,7 +92,7 @@
             node.connections().release(server);
             end(resultOf(status), body);
         } else {
-            end(result, null);
+            endWithoutResponse(result);
         }
     }
 
@@ -100,18 +104,21 @@
         };
     }
 
+    /** Ends the attempt with no complete response, unless it has ended, and informs the balancer. */
+    void endWithoutResponse(AttemptResult result) {
+        end(result, "");
+    }
+
     /** Ends the attempt, unless it has ended: responds to the client on success and informs the balancer. */
-    void end(AttemptResult result, String body) {
+    private void end(AttemptResult result, String body) {
         if (isOver || node.isStopped()) {
             return;
         }
         isOver = true;
         request.attemptEnded();
-        if (deadlineTimer != null) {
-            deadlineTimer.cancel();
-        }
-        if (outbound != null && !isResponse(result)) {
-            outbound.close();
+        deadlineTimer.ifPresent(Scheduler.Timer::cancel);
+        if (!isResponse(result)) {
+            outbound.ifPresent(SimulatedNetwork.OutboundRequest::close);
         }
         if (result == AttemptResult.OK) {
             request.respond(STATUS_OK, body);
@@ -128,11 +135,9 @@
 
     /** Stops the timer and closes the connection in use: the node's process has ended. */
     void abort() {
-        if (deadlineTimer != null) {
-            deadlineTimer.cancel();
-        }
-        if (outbound != null && !isOver) {
-            outbound.close();
+        deadlineTimer.ifPresent(Scheduler.Timer::cancel);
+        if (!isOver) {
+            outbound.ifPresent(SimulatedNetwork.OutboundRequest::close);
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
@@ -116,8 +116,11 @@
         }
 
         private void receiveDatagram(SimulatedMember receiver, byte[] datagram) {
+            if (!receiver.hasStarted()) {
+                return;
+            }
             SimulatedProcess process = receiver.process();
-            if (process != null && (!process.isPaused() || process.waiting() < RECEIVE_BUFFER_DATAGRAMS)) {
+            if (!process.isPaused() || process.waiting() < RECEIVE_BUFFER_DATAGRAMS) {
                 Membership membership = receiver.membership();
                 process.deliver(() -> membership.onDatagram(local.address(), datagram));
             }
@@ -129,7 +132,7 @@
             PushPullCallback response = new PushPullCallback(local.process(), callback);
             queue.after(PUSH_PULL_TIMEOUT_US, () -> response.complete(Optional.empty()));
             SimulatedMember peer = membersByAddress.get(to);
-            if (peer == null || peer.process() == null || isConnectionBlocked(local, peer)) {
+            if (peer == null || !peer.hasStarted() || isConnectionBlocked(local, peer)) {
                 return;
             }
             Membership membership = peer.membership();
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
@@ -3,6 +3,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
+import java.util.Optional;
 import tansypass.cluster.membership.Membership;
 
 /**
@@ -15,8 +16,8 @@
     private final int number;
     private final String name;
     private final InetSocketAddress address;
-    private SimulatedProcess process;
-    private Membership membership;
+    private Optional<SimulatedProcess> process = Optional.empty();
+    private Optional<Membership> membership = Optional.empty();
     private int generation;
 
     /** Creates a member without a process. */
@@ -50,22 +51,27 @@
 
     /** Replaces its process by a new one, and counts it as its next generation. */
     void startProcess(SimulatedProcess started) {
-        process = started;
+        process = Optional.of(started);
         generation++;
     }
 
     void setMembership(Membership membership) {
-        this.membership = membership;
+        this.membership = Optional.of(membership);
     }
 
-    /** Returns its last process, dead or alive, or null before the first start. */
+    /** Returns whether it has had a process, dead or alive. */
+    boolean hasStarted() {
+        return process.isPresent();
+    }
+
+    /** Returns its last process, dead or alive; only to be called after the first start. */
     SimulatedProcess process() {
-        return process;
+        return process.orElseThrow();
     }
 
-    /** Returns the protocol instance of its last process, or null before the first start. */
+    /** Returns the protocol instance of its last process; only to be called after the first start. */
     Membership membership() {
-        return membership;
+        return membership.orElseThrow();
     }
 
     /** Returns how many processes it has had. */
@@ -75,6 +81,6 @@
 
     /** Returns whether its process is running and not paused. */
     boolean isUp() {
-        return process != null && !process.isDead() && !process.isPaused();
+        return process.isPresent() && !process().isDead() && !process().isPaused();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -54,7 +54,7 @@
             AttemptResult result = isAccepted ? AttemptResult.OK : AttemptResult.CONNECT_FAILED;
             long backUs = link.dueUs(Direction.BACK, context.nowUs(), 0);
             context.queue.after(
-                    backUs - context.nowUs(), () -> caller.deliver(() -> callback.onComplete(result, 0, null)));
+                    backUs - context.nowUs(), () -> caller.deliver(() -> callback.onComplete(result, 0, "")));
         });
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
@@ -54,7 +54,7 @@
     /** Cancels an attempt, if there is one of this number. */
     void cancelAttempt(int number) {
         if (number < attempts.size()) {
-            attempts.get(number).end(AttemptResult.CANCELLED, null);
+            attempts.get(number).endWithoutResponse(AttemptResult.CANCELLED);
         }
     }
 
@@ -72,7 +72,7 @@
         // Attempts that still wait for a connection must not be sent.
         List.copyOf(attempts).stream()
                 .filter(attempt -> !attempt.isWritten())
-                .forEach(attempt -> attempt.end(AttemptResult.NOT_SENT, null));
+                .forEach(attempt -> attempt.endWithoutResponse(AttemptResult.NOT_SENT));
         node.removeIfDone(this);
     }
 
