--- a/cluster/src/main/java/tansypass/cluster/membership/MemberTableUpdater.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberTableUpdater.java
@@ -98,7 +98,7 @@
         switch (member.state()) {
             case SUSPECT -> suspicions.start(member);
             case FAILED, LEFT -> scheduleReap(name);
-            case ALIVE -> {
+            default -> {
                 boolean wasPresent = before.isPresent() && before.get().isPresent();
                 if (!wasPresent) {
                     probeOrder.add(name);
--- a/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
@@ -12,9 +12,10 @@
  * Process Group Membership Protocol", 2002) with Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health
  * Awareness for More Accurate Failure Detection", 2017).
  *
- * <p>It owns the state, routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
- * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}, {@link MemberTableUpdater}). Single-threaded: all
- * calls come from the thread of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers send.
+ * <p>It owns the state and routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
+ * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}, {@link MemberTableUpdater}). Single-threaded:
+ * all calls come from the thread of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers
+ * send.
  */
 public final class SwimProtocol implements Membership {
     private final ProtocolState state;
--- a/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
@@ -15,7 +15,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** One push-pull sync that this process started, on a connection of its own; completes once, with the peer's view if it sent one. */
+/**
+ * One push-pull sync that this process started, on a connection of its own; completes once, with the peer's view if it
+ * sent one.
+ */
 final class PushPullCall extends SimpleChannelInboundHandler<FullHttpResponse> {
     /** The peer is known by its address alone, but HTTP/1.1 requires a host. */
     private static final String HOST = "fleet";
--- a/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
@@ -68,26 +68,12 @@
      */
     public Result explore(long firstSeed, long budgetMs, int maxSchedules, int threads) throws InterruptedException {
         long untilNs = System.nanoTime() + budgetMs * 1_000_000;
-        AtomicLong next = new AtomicLong(firstSeed);
-        AtomicInteger tried = new AtomicInteger();
-        // The lowest seed with a violation: which of two threads comes first must not decide the result.
-        AtomicLong violatingSeed = new AtomicLong(Long.MAX_VALUE);
+        Search search = new Search(firstSeed, firstSeed + maxSchedules, untilNs);
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<?>> workers = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
-                workers.add(pool.submit(() -> {
-                    long seed = next.getAndIncrement();
-                    while (seed < firstSeed + maxSchedules
-                            && seed < violatingSeed.get()
-                            && System.nanoTime() < untilNs) {
-                        progress.accept(tried.incrementAndGet());
-                        if (runner.run(randomized(seed), seed).violationCount() > 0) {
-                            violatingSeed.accumulateAndGet(seed, Math::min);
-                        }
-                        seed = next.getAndIncrement();
-                    }
-                }));
+                workers.add(pool.submit(search));
             }
             for (Future<?> worker : workers) {
                 worker.get();
@@ -97,11 +83,42 @@
         } finally {
             pool.shutdownNow();
         }
-        return new Result(
-                tried.get(),
-                violatingSeed.get() == Long.MAX_VALUE
-                        ? Optional.empty()
-                        : Optional.of(shrink(randomized(violatingSeed.get()), violatingSeed.get())));
+        return new Result(search.tried.get(), search.violatingSeed().map(seed -> shrink(randomized(seed), seed)));
+    }
+
+    /** Runs the schedules of a range of seeds, on several threads at once. */
+    private final class Search implements Runnable {
+        private static final long NONE = Long.MAX_VALUE;
+
+        private final long endSeed;
+        private final long untilNs;
+        private final AtomicLong nextSeed;
+        private final AtomicInteger tried = new AtomicInteger();
+        /** The lowest seed with a violation: which of two threads comes first must not decide the result. */
+        private final AtomicLong violatingSeed = new AtomicLong(NONE);
+
+        Search(long firstSeed, long endSeed, long untilNs) {
+            this.endSeed = endSeed;
+            this.untilNs = untilNs;
+            nextSeed = new AtomicLong(firstSeed);
+        }
+
+        @Override
+        public void run() {
+            long seed = nextSeed.getAndIncrement();
+            while (seed < endSeed && seed < violatingSeed.get() && System.nanoTime() < untilNs) {
+                progress.accept(tried.incrementAndGet());
+                if (runner.run(randomized(seed), seed).violationCount() > 0) {
+                    violatingSeed.accumulateAndGet(seed, Math::min);
+                }
+                seed = nextSeed.getAndIncrement();
+            }
+        }
+
+        Optional<Long> violatingSeed() {
+            long seed = violatingSeed.get();
+            return seed == NONE ? Optional.empty() : Optional.of(seed);
+        }
     }
 
     private Scenario randomized(long seed) {
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
@@ -18,7 +18,7 @@
 import tansypass.testbed.model.WebServer;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** A web server of a run: its sockets; what it responds is up to its {@link WebServer}. Lives on the run's event loop. */
+/** The sockets of a web server; its responses come from its {@link WebServer}. Lives on the run's event loop. */
 final class StubWebServer {
     private static final int MAX_BODY = 65_536;
 
