--- a/node/src/main/java/tansypass/simulator/EventLineReader.java
+++ b/node/src/main/java/tansypass/simulator/EventLineReader.java
@@ -12,18 +12,18 @@
 final class EventLineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
     private static final int INITIAL_FIELDS = 16;
-    /** Any number of so many digits fits a long. */
+    /** A number of up to this many digits fits a long. */
     private static final int MAX_DIGITS = 18;
     /** Length of a request id. */
     private static final int ID_DIGITS = 16;
 
     private final InputStream in;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-    /** Bytes of the buffer in use. */
+    /** Number of bytes that have been read into the buffer. */
     private int filled;
-    /** Index of the present line's first byte. */
+    /** Index of the current line's first byte. */
     private int start;
-    /** Index after its last byte, of the line feed if it has one. */
+    /** Index of the line feed that ends the current line, or of the end of the input if there is none. */
     private int end;
 
     private long lineNumber;
@@ -50,25 +50,33 @@
     boolean readNext() throws IOException {
         start = lineNumber == 0 ? 0 : end + 1;
         lineNumber++;
-        int scan = start;
+        int searched = start;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
-                scan++;
-            }
-            if (scan < filled) {
-                end = scan;
-                splitFields();
+            int lineFeed = indexOfLineFeed(searched);
+            if (lineFeed < filled) {
+                end = lineFeed;
+                splitLine();
                 return true;
             }
-            scan -= makeRoom();
-            int read = in.read(buffer, filled, buffer.length - filled);
-            if (read < 0) {
+            makeRoom();
+            searched = filled;
+            int count = in.read(buffer, filled, buffer.length - filled);
+            if (count < 0) {
                 return endLastLine();
             }
-            filled += read;
+            filled += count;
         }
     }
 
+    /** Returns the index of the next line feed, or of the end of the bytes that have been read. */
+    private int indexOfLineFeed(int from) {
+        int at = from;
+        while (at < filled && buffer[at] != '\n') {
+            at++;
+        }
+        return at;
+    }
+
     /**
      * Moves to the next line of a batch.
      *
@@ -80,9 +88,8 @@
         }
     }
 
-    /** Moves the present line to the start of the buffer, or grows a full buffer; returns how far the line moved. */
-    private int makeRoom() {
-        int moved = start;
+    /** Moves the current line to the start of the buffer, and grows a buffer that is full then. */
+    private void makeRoom() {
         if (start > 0) {
             System.arraycopy(buffer, start, buffer, 0, filled - start);
             filled -= start;
@@ -91,49 +98,72 @@
         if (filled == buffer.length) {
             buffer = Arrays.copyOf(buffer, 2 * buffer.length);
         }
-        return moved;
     }
 
-    /** Handles the end of the input: returns whether a last line without a line end was left. */
+    /** Handles the end of the input: returns whether a last line without a line feed was left. */
     private boolean endLastLine() {
         end = filled;
         if (filled == start) {
             return false;
         }
-        splitFields();
-        // The next call has to find an empty rest.
-        buffer[end < buffer.length ? end : end - 1] = '\n';
-        filled = Math.min(end + 1, buffer.length);
+        splitLine();
+        appendLineFeed();
         return true;
     }
 
-    private void splitFields() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
-            at++;
-        }
-        nameEnd = at;
+    /** Ends the last line with a line feed, for which makeRoom has left space: the next call finds no further line. */
+    private void appendLineFeed() {
+        buffer[end] = '\n';
+        filled = end + 1;
+    }
+
+    /** Finds the bounds of the event's name and of each field of the current line. */
+    private void splitLine() {
+        nameEnd = indexOfSpace(start);
         fieldCount = 0;
+        int at = nameEnd;
         while (at < end) {
-            int key = at + 1;
-            int equals = key;
-            while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
-                equals++;
-            }
-            at = equals;
-            while (at < end && buffer[at] != ' ') {
-                at++;
-            }
-            if (fieldCount == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
-                valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
-            }
-            keyStart[fieldCount] = key;
-            valueStart[fieldCount] = Math.min(equals + 1, at);
-            valueEnd[fieldCount] = at;
-            fieldCount++;
+            int fieldStart = at + 1;
+            int keyEnd = indexOfEqualsOrSpace(fieldStart);
+            int fieldEnd = indexOfSpace(keyEnd);
+            addField(fieldStart, Math.min(keyEnd + 1, fieldEnd), fieldEnd);
+            at = fieldEnd;
+        }
+    }
+
+    private void addField(int firstOfKey, int firstOfValue, int fieldEnd) {
+        if (fieldCount == keyStart.length) {
+            growFields();
+        }
+        keyStart[fieldCount] = firstOfKey;
+        valueStart[fieldCount] = firstOfValue;
+        valueEnd[fieldCount] = fieldEnd;
+        fieldCount++;
+    }
+
+    private void growFields() {
+        int capacity = 2 * keyStart.length;
+        keyStart = Arrays.copyOf(keyStart, capacity);
+        valueStart = Arrays.copyOf(valueStart, capacity);
+        valueEnd = Arrays.copyOf(valueEnd, capacity);
+    }
+
+    /** Returns the index of the next equals sign or space of the current line, or the line's end if there is none. */
+    private int indexOfEqualsOrSpace(int from) {
+        int at = from;
+        while (at < end && buffer[at] != '=' && buffer[at] != ' ') {
+            at++;
+        }
+        return at;
+    }
+
+    /** Returns the index of the next space of the current line, or the line's end if there is none. */
+    private int indexOfSpace(int from) {
+        int at = from;
+        while (at < end && buffer[at] != ' ') {
+            at++;
         }
+        return at;
     }
 
     /** Returns the name of the event, empty for an empty line. */
@@ -172,6 +202,7 @@
         return true;
     }
 
+    /** Returns the number of the field with a key, or -1 if there is none. */
     private int findField(String key) {
         for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
@@ -189,10 +220,10 @@
         return field;
     }
 
-    /** Returns a field's text, or null if the field is missing. */
-    String getText(String key) {
+    /** Returns a field's text, or the default if the field is missing. */
+    String getText(String key, String defaultValue) {
         int field = findField(key);
-        return field < 0 ? null : value(field);
+        return field < 0 ? defaultValue : value(field);
     }
 
     String requireText(String key) throws ProtocolException {
--- a/node/src/main/java/tansypass/simulator/EventTranslator.java
+++ b/node/src/main/java/tansypass/simulator/EventTranslator.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Returns the call for the present event.
+     * Returns the call for the current event.
      *
      * @param nowUs time of the event's batch, microseconds
      * @throws ProtocolException if the event is malformed
@@ -77,8 +77,8 @@
     }
 
     private BalancerRequest parseRequest(SimulatedInstance instance) throws ProtocolException {
-        String tenant = line.getText("realm");
-        boolean hasTenant = tenant != null && !tenant.equals(NO_TENANT_NAME);
+        String tenant = line.getText("realm", NO_TENANT_NAME);
+        boolean hasTenant = !tenant.equals(NO_TENANT_NAME);
         long id = line.requireId("handle");
         String requestClass = line.requireText("lane");
         return new BalancerRequest(
@@ -90,8 +90,8 @@
                 line.getFlag("resent"));
     }
 
-    private int requireKnown(String field, String name, Integer index) throws ProtocolException {
-        if (index == null) {
+    private int requireKnown(String field, String name, int index) throws ProtocolException {
+        if (index == SimulatedInstance.NOT_FOUND) {
             throw line.malformed(field, "is not in the settings: " + name);
         }
         return index;
--- a/node/src/main/java/tansypass/simulator/ResultCode.java
+++ b/node/src/main/java/tansypass/simulator/ResultCode.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Parses the result that the present event gives.
+     * Parses the result that the current event gives.
      *
      * @throws ProtocolException if it has none, or an unknown one
      */
--- a/node/src/main/java/tansypass/simulator/RosterTable.java
+++ b/node/src/main/java/tansypass/simulator/RosterTable.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Reads a roster, of which the present event is the first line, and replaces the one of the same number.
+     * Reads a roster, of which the current event is the first line, and replaces the one of the same number.
      *
      * @throws ProtocolException if it is malformed; nothing is replaced then
      */
@@ -49,7 +49,7 @@
         String state = line.requireText("lifecycle");
         return new Entry(
                 line.requireText("server"),
-                line.getText("site"),
+                line.getText("site", ""),
                 (int) line.getLong("block", 0),
                 parseState(line, state),
                 line.getDouble("scale", 1),
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Returns the servers of the roster that the present event names, with the zone numbers of an instance.
+     * Returns the servers of the roster that the current event names, with the zone numbers of an instance.
      *
      * @throws ProtocolException if there is no such roster
      */
@@ -77,7 +77,7 @@
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
         for (Entry entry : roster) {
-            int zone = instance.zoneNumber(entry.zone);
+            int zone = instance.findZone(entry.zone);
             entries.add(new ServerEntry(entry.id, zone, entry.cell, entry.state, entry.weight, entry.bootUs));
         }
         return entries;
--- a/node/src/main/java/tansypass/simulator/SimulatedInstance.java
+++ b/node/src/main/java/tansypass/simulator/SimulatedInstance.java
@@ -13,7 +13,8 @@
 
 /** The balancer of one simulated node, with the indexes of its settings' names. Not thread-safe. */
 final class SimulatedInstance {
-    private static final int UNKNOWN_ZONE = -1;
+    /** The index of a name that the settings do not have. */
+    static final int NOT_FOUND = -1;
 
     private final LoadBalancer balancer;
     private final Map<String, Integer> classes;
@@ -38,18 +39,18 @@
         return balancer;
     }
 
-    /** Returns the index of a request class in the settings, or null if they have none of this name. */
-    Integer findClass(String name) {
-        return classes.get(name);
+    /** Returns the index of a request class in the settings, or {@link #NOT_FOUND}. */
+    int findClass(String name) {
+        return classes.getOrDefault(name, NOT_FOUND);
     }
 
-    /** Returns the index of a tenant in the settings, or null if they have none of this name. */
-    Integer findTenant(String name) {
-        return tenants.get(name);
+    /** Returns the index of a tenant in the settings, or {@link #NOT_FOUND}. */
+    int findTenant(String name) {
+        return tenants.getOrDefault(name, NOT_FOUND);
     }
 
-    /** Returns the number of a zone by the instance's settings, or -1 if they have none of this name. */
-    int zoneNumber(String name) {
-        return zones.getOrDefault(name, UNKNOWN_ZONE);
+    /** Returns the index of a zone in the settings, or {@link #NOT_FOUND}. */
+    int findZone(String name) {
+        return zones.getOrDefault(name, NOT_FOUND);
     }
 }
--- a/node/src/main/java/tansypass/simulator/SimulatorConnection.java
+++ b/node/src/main/java/tansypass/simulator/SimulatorConnection.java
@@ -30,7 +30,7 @@
     /**
      * Processes batches until the input ends.
      *
-     * @throws ProtocolException if the input is malformed; the present batch has no response then
+     * @throws ProtocolException if the input is malformed; the current batch has no response then
      */
     void run() throws IOException, ProtocolException {
         while (line.readNext()) {
