--- a/cli/src/main/java/tansypass/cli/DemoCommand.java
+++ b/cli/src/main/java/tansypass/cli/DemoCommand.java
@@ -11,6 +11,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.RunStatistics.End;
 import tansypass.testbed.report.Report;
@@ -33,7 +34,7 @@
     private CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException, InterruptedException {
+    public Integer call() throws InvalidConfigException, IOException, InterruptedException {
         Scenario scenario = ScenarioFile.parse(readScenario(), "demo.toml");
         PrintWriter out = spec.commandLine().getOut();
         out.println(scenario.nodes().count() + " nodes, " + scenario.servers().count() + " servers, "
--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.exploration.ScheduleExplorer;
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.Scenario.Fault;
@@ -76,7 +77,7 @@
     }
 
     @Override
-    public Integer call() throws IOException, InterruptedException {
+    public Integer call() throws InvalidConfigException, IOException, InterruptedException {
         Scenario scenario = ScenarioFile.read(file);
         long startNs = System.nanoTime();
         ScheduleExplorer.Result result = new ScheduleExplorer(
--- a/cli/src/main/java/tansypass/cli/NodeCommand.java
+++ b/cli/src/main/java/tansypass/cli/NodeCommand.java
@@ -8,6 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import tansypass.cluster.transport.ClusterMember;
+import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile;
 
 /** Runs one node until SIGTERM. */
@@ -30,7 +31,7 @@
     private long clockOffsetMs;
 
     @Override
-    public Integer call() {
+    public Integer call() throws InvalidConfigException {
         NodeFile initial = NodeFile.read(file, System.getenv());
         Logs.configure(initial.log());
         if (withParent) {
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -11,6 +11,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.process.Progress;
 import tansypass.testbed.report.Report;
@@ -68,7 +69,7 @@
         private CommandSpec spec;
 
         @Override
-        public Integer call() throws IOException, InterruptedException {
+        public Integer call() throws InvalidConfigException, IOException, InterruptedException {
             Scenario scenario = ScenarioFile.read(file);
             PrintWriter out = spec.commandLine().getOut();
             String command = "./tansypass testbed run " + file + " --seed " + seed + (virtual ? " --virtual" : "");
--- a/cli/src/test/java/tansypass/cli/CommandsTest.java
+++ b/cli/src/test/java/tansypass/cli/CommandsTest.java
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void findsChangedKeysThatNeedRestart() throws IOException {
+    void findsChangedKeysThatNeedRestart() throws Exception {
         NodeFile old = NodeFile.read(file(NODE), Map.of());
         NodeFile moved = NodeFile.read(file(NODE.replace(":8443", ":8444")), Map.of());
         assertEquals(List.of("node.listen"), ConfigReloader.findKeysNeedingRestart(old, moved));
--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.exploration.ScheduleExplorer;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.RunStatistics.End;
@@ -31,7 +32,7 @@
     @TempDir
     private Path folder;
 
-    private static Scenario scenario(String name) {
+    private static Scenario scenario(String name) throws InvalidConfigException {
         return ScenarioFile.read(SCENARIOS.resolve(name + ".toml").toString());
     }
 
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void acceptsAnnotatedScenario() {
+    void acceptsAnnotatedScenario() throws InvalidConfigException {
         assertEquals(3, scenario("annotated").faults().size());
     }
 }
--- a/config/src/main/java/tansypass/config/InvalidConfigException.java
+++ b/config/src/main/java/tansypass/config/InvalidConfigException.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 
 /** A configuration file is invalid; the message has one line per error. */
-public final class InvalidConfigException extends IllegalArgumentException {
+public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient List<ConfigError> errors;
--- a/config/src/main/java/tansypass/config/NodeFile.java
+++ b/config/src/main/java/tansypass/config/NodeFile.java
@@ -155,7 +155,7 @@
      * @param environment variables {@code TANSYPASS_SECTION_KEY} override values of the file
      * @throws InvalidConfigException with all errors
      */
-    public static NodeFile read(String path, Map<String, String> environment) {
+    public static NodeFile read(String path, Map<String, String> environment) throws InvalidConfigException {
         return TomlFile.read(path, environment, NodeFileReader::read);
     }
 }
--- a/config/src/main/java/tansypass/config/TomlFile.java
+++ b/config/src/main/java/tansypass/config/TomlFile.java
@@ -28,7 +28,8 @@
      * @param converter makes the typed model; goes on after an error, since each has a placeholder value
      * @throws InvalidConfigException with all errors
      */
-    public static <T> T read(String file, Map<String, String> environment, Function<TomlTableReader, T> converter) {
+    public static <T> T read(String file, Map<String, String> environment, Function<TomlTableReader, T> converter)
+            throws InvalidConfigException {
         return parse(readText(file), file, environment, converter);
     }
 
@@ -39,7 +40,8 @@
      * @throws InvalidConfigException with all errors
      */
     public static <T> T parse(
-            String text, String file, Map<String, String> environment, Function<TomlTableReader, T> converter) {
+            String text, String file, Map<String, String> environment, Function<TomlTableReader, T> converter)
+            throws InvalidConfigException {
         List<ConfigError> errors = new ArrayList<>();
         TomlParseResult toml = Toml.parse(text);
         for (TomlParseError error : toml.errors()) {
@@ -53,14 +55,14 @@
         return model;
     }
 
-    private static void throwIfAny(List<ConfigError> errors) {
+    private static void throwIfAny(List<ConfigError> errors) throws InvalidConfigException {
         if (!errors.isEmpty()) {
             errors.sort(Comparator.comparingInt(ConfigError::line));
             throw new InvalidConfigException(errors);
         }
     }
 
-    private static String readText(String file) {
+    private static String readText(String file) throws InvalidConfigException {
         String problem;
         try {
             Path path = Path.of(file);
--- a/config/src/test/java/tansypass/config/NodeFileTest.java
+++ b/config/src/test/java/tansypass/config/NodeFileTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void usesDefaultsForAllButAddressesAndClasses() throws IOException {
+    void usesDefaultsForAllButAddressesAndClasses() throws Exception {
         NodeFile node = NodeFile.read(file(MINIMAL), Map.of());
         assertEquals("node", node.name());
         assertEquals("a", node.zone());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void overridesValuesFromEnvironmentAndNamesVariablesInErrors() throws IOException {
+    void overridesValuesFromEnvironmentAndNamesVariablesInErrors() throws Exception {
         NodeFile node = NodeFile.read(
                 file(MINIMAL),
                 Map.of(
--- a/node/src/test/java/tansypass/platform/PlatformNamesTest.java
+++ b/node/src/test/java/tansypass/platform/PlatformNamesTest.java
@@ -28,7 +28,8 @@
             Pattern.compile("(?<=[\"./ ])(" + String.join("|", NAMES) + ")(?=[\".=])");
 
     private static final Pattern COMMENT = Pattern.compile("/\\*.*?\\*/", Pattern.DOTALL);
-    private static final Pattern LITERAL = Pattern.compile("\"\"\".*?\"\"\"|\"(\\\\.|[^\"\\\\\n])*\"", Pattern.DOTALL);
+    private static final Pattern LITERAL =
+            Pattern.compile("'(?:\\\\.|[^'\\\\])'|\"\"\".*?\"\"\"|\"(\\\\.|[^\"\\\\\n])*\"", Pattern.DOTALL);
     /** The module config is left out: its TOML keys are a format of its own, which shares some of the names. */
     private static final List<Path> MAIN_CODE = Stream.of("node", "cluster", "testbed", "cli")
             .map(module -> Path.of("..", module, "src/main/java/tansypass"))
--- a/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import tansypass.cluster.transport.EventLoopScheduler;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
@@ -46,7 +47,7 @@
             deadline = "30s"
             """;
 
-    private final Scenario scenario = ScenarioFile.parse(SCENARIO, "cost");
+    private final Scenario scenario = parseScenario();
     private final EventLoop clientLoop;
     private final Channel server;
 
@@ -56,6 +57,14 @@
         server = Channels.listen(serverLoop, new InetSocketAddress("127.0.0.1", 0), RequestRateBenchmark::initServer);
     }
 
+    private static Scenario parseScenario() {
+        try {
+            return ScenarioFile.parse(SCENARIO, "cost");
+        } catch (InvalidConfigException e) {
+            throw new IllegalStateException("the benchmark's own scenario is invalid", e);
+        }
+    }
+
     private static void initServer(SocketChannel channel) {
         channel.pipeline()
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new NotFoundHandler());
--- a/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
@@ -31,13 +31,21 @@
 
     private ScenarioFile() {}
 
-    /** Reads a file; throws {@link InvalidConfigException} with all errors in it. */
-    public static Scenario read(String file) {
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidConfigException with all errors in it
+     */
+    public static Scenario read(String file) throws InvalidConfigException {
         return TomlFile.read(file, Map.of(), ScenarioFile::of);
     }
 
-    /** Parses a text, which errors call {@code name}; throws {@link InvalidConfigException}. */
-    public static Scenario parse(String text, String name) {
+    /**
+     * Parses a text, which errors call {@code name}.
+     *
+     * @throws InvalidConfigException with all errors in it
+     */
+    public static Scenario parse(String text, String name) throws InvalidConfigException {
         return TomlFile.parse(text, name, Map.of(), ScenarioFile::of);
     }
 
--- a/testbed/src/test/java/tansypass/testbed/TestScenarios.java
+++ b/testbed/src/test/java/tansypass/testbed/TestScenarios.java
@@ -1,5 +1,6 @@
 package tansypass.testbed;
 
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
 
@@ -31,9 +32,13 @@
 
     private TestScenarios() {}
 
-    /** Parses a scenario. */
+    /** Parses a scenario, which has to be valid. */
     public static Scenario of(String text) {
-        return ScenarioFile.parse(text, "world");
+        try {
+            return ScenarioFile.parse(text, "world");
+        } catch (InvalidConfigException e) {
+            throw new AssertionError(e);
+        }
     }
 
     /** Returns the lines of a fault, which can be added at the end of a scenario. */
--- a/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
+++ b/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
@@ -11,7 +11,7 @@
 class ScenarioFileTest {
 
     private static List<String> faults(String more) {
-        return assertThrows(InvalidConfigException.class, () -> TestScenarios.of(TestScenarios.SMALL + more))
+        return assertThrows(InvalidConfigException.class, () -> ScenarioFile.parse(TestScenarios.SMALL + more, "world"))
                 .errors()
                 .stream()
                 .map(f -> f.line() + " " + f.key() + ": " + f.problem())
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import tansypass.cluster.membership.MemberState;
 import tansypass.cluster.membership.MembershipSettings;
+import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile.Idempotency;
 import tansypass.testbed.TestScenarios;
 import tansypass.testbed.invariant.Invariant;
@@ -110,7 +111,7 @@
         return name + " " + seed + " " + checker.traceHash();
     }
 
-    private static Map<String, Scenario> scenarios() {
+    private static Map<String, Scenario> scenarios() throws InvalidConfigException {
         Map<String, Scenario> scenarios = new LinkedHashMap<>();
         scenarios.put("small", TestScenarios.of(TestScenarios.SMALL));
         scenarios.put("all-faults", TestScenarios.of(ALL_FAULTS));
@@ -123,7 +124,7 @@
         return scenarios;
     }
 
-    private static Scenario scenarioFile(String name) {
+    private static Scenario scenarioFile(String name) throws InvalidConfigException {
         return ScenarioFile.read("../scenarios/" + name + ".toml");
     }
 
@@ -134,7 +135,7 @@
     }
 
     @Test
-    void runTracesEqualRecordedOnes() throws IOException {
+    void runTracesEqualRecordedOnes() throws Exception {
         List<Supplier<String>> runs = new ArrayList<>();
         scenarios()
                 .forEach((name, scenario) -> LongStream.rangeClosed(1, LARGE.contains(name) ? 1 : SEEDS)
