--- a/cli/src/main/java/tansypass/cli/DemoCommand.java
+++ b/cli/src/main/java/tansypass/cli/DemoCommand.java
@@ -12,6 +12,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.RunStatistics.End;
 import tansypass.testbed.process.InsufficientResourcesException;
@@ -35,7 +36,8 @@
     private CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException, InsufficientResourcesException, InterruptedException {
+    public Integer call()
+            throws InvalidConfigException, IOException, InsufficientResourcesException, InterruptedException {
         Scenario scenario = ScenarioFile.parse(readScenario(), "demo.toml");
         PrintWriter out = spec.commandLine().getOut();
         out.println(scenario.nodes().count() + " nodes, " + scenario.servers().count() + " servers, "
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -12,6 +12,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import tansypass.config.InvalidConfigException;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.process.InsufficientResourcesException;
 import tansypass.testbed.process.Progress;
@@ -70,7 +71,8 @@
         private CommandSpec spec;
 
         @Override
-        public Integer call() throws IOException, InsufficientResourcesException, InterruptedException {
+        public Integer call()
+                throws InvalidConfigException, IOException, InsufficientResourcesException, InterruptedException {
             Scenario scenario = ScenarioFile.read(file);
             PrintWriter out = spec.commandLine().getOut();
             String command = "./tansypass testbed run " + file + " --seed " + seed + (virtual ? " --virtual" : "");
