--- a/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
+++ b/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
@@ -41,7 +41,10 @@
         void onBalancerFailure();
     }
 
-    /** A queued call of the module, and the listener that it has, or null. */
+    /** For events that concern no single request: there is nobody to notify. */
+    private static final FailureListener NO_LISTENER = () -> {};
+
+    /** A queued call of the module, and the listener of its failure. */
     private record Call(FailureListener failureListener, Consumer<LoadBalancer> action) {}
 
     /** Creates an executor without a module: {@link #setBalancer} has to follow. */
@@ -57,7 +60,7 @@
 
     /** Calls the module for an event that concerns no single request; see the method with a listener. */
     public void execute(Consumer<LoadBalancer> action) {
-        execute(null, action);
+        execute(NO_LISTENER, action);
     }
 
     /** Calls the module for an event that concerns no single request; may be called from any thread. */
@@ -70,7 +73,7 @@
      * action (a connection refused, an attempt not sent) is reported only after the call that caused it has
      * returned.
      *
-     * @param failureListener notified if the call throws, such as the request that the event concerns; or null
+     * @param failureListener notified if the call throws, such as the request that the event concerns
      */
     public void execute(FailureListener failureListener, Consumer<LoadBalancer> action) {
         if (closed) {
@@ -98,9 +101,7 @@
             call.action.accept(balancer);
         } catch (RuntimeException e) {
             LOG.log(Level.ERROR, LogEvent.BALANCER_CALL_FAILED.line(), e);
-            if (call.failureListener != null) {
-                call.failureListener.onBalancerFailure();
-            }
+            call.failureListener.onBalancerFailure();
         }
     }
 
--- a/node/src/main/java/tansypass/node/frontend/ClientConnection.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnection.java
@@ -93,14 +93,14 @@
     /** Returns whether no request is complete or in flight, and no response is being written. */
     boolean hasNoCompleteRequest() {
         return inFlight == null
-                && (reader.incoming() == null || !reader.incoming().complete)
+                && (reader.incomingOrNull() == null || !reader.incomingOrNull().complete)
                 && !writer.hasUnwrittenResponse()
                 && pipelined.isEmpty();
     }
 
     /** Returns whether a complete request waits for its response. */
     private boolean isBusy() {
-        return reader.incoming() == null ? inFlight != null : reader.incoming().complete;
+        return reader.incomingOrNull() == null ? inFlight != null : reader.incomingOrNull().complete;
     }
 
     /** Returns whether input has to wait for the response to an earlier request. */
@@ -110,7 +110,7 @@
 
     /** Returns whether a request is being received, or input waits behind the one in flight. */
     boolean hasUnprocessedInput() {
-        return reader.incoming() != null || !pipelined.isEmpty();
+        return reader.incomingOrNull() != null || !pipelined.isEmpty();
     }
 
     /** Returns whether the last request received has the method HEAD. */
@@ -120,7 +120,7 @@
 
     /** Returns whether another request may follow the present response; while draining only one that is here. */
     boolean canKeepAlive() {
-        return reader.incoming() == null && (!frontend.lifecycle().isDraining() || !pipelined.isEmpty());
+        return reader.incomingOrNull() == null && (!frontend.lifecycle().isDraining() || !pipelined.isEmpty());
     }
 
     /** Returns whether no further request is served on the connection. */
@@ -175,7 +175,7 @@
      * an incomplete one is abandoned, and no server has all of it.
      */
     void reject(BadRequestException e) {
-        if (writer.isClosing() || (inFlight != null && reader.incoming() == null)) {
+        if (writer.isClosing() || (inFlight != null && reader.incomingOrNull() == null)) {
             writer.closeAfterResponse();
             return;
         }
@@ -185,7 +185,7 @@
 
     /** Gives up whatever has been received of a request, and its response. */
     private void abandonRequest() {
-        IncomingRequest incoming = reader.incoming();
+        IncomingRequest incoming = reader.incomingOrNull();
         Exchange abandoned = inFlight != null || incoming == null ? inFlight : incoming.exchange;
         inFlight = null;
         reader.clear();
--- a/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
@@ -71,7 +71,7 @@
         if (!waiting) {
             return 0;
         }
-        IncomingRequest incoming = connection.reader().incoming();
+        IncomingRequest incoming = connection.reader().incomingOrNull();
         long receivedBytes = incoming == null ? 0 : incoming.receivedBytes;
         return elapsedNs(nowNs) - TimeUnit.SECONDS.toNanos(receivedBytes) / IncomingRequest.MIN_BYTES_PER_SECOND;
     }
@@ -85,13 +85,13 @@
                 || elapsedNs(nowNs) < TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MS)) {
             return false;
         }
-        IncomingRequest incoming = connection.reader().incoming();
+        IncomingRequest incoming = connection.reader().incomingOrNull();
         return incoming == null || incoming.isTooSlow(nowNs, channel.config().isAutoRead());
     }
 
     /** Returns whether nothing of a request has been received since the last response. */
     boolean isIdle() {
-        return connection.hasNoCompleteRequest() && connection.reader().incoming() == null && !bytesReceived;
+        return connection.hasNoCompleteRequest() && connection.reader().incomingOrNull() == null && !bytesReceived;
     }
 
     /** Returns whether it can be closed without losing a request, unless one is under way this moment. */
--- a/node/src/main/java/tansypass/node/frontend/RequestReader.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestReader.java
@@ -38,8 +38,8 @@
         this.channel = channel;
     }
 
-    /** Returns the request being received, or null. */
-    IncomingRequest incoming() {
+    /** Returns the request being received; null if there is none. */
+    IncomingRequest incomingOrNull() {
         return incoming;
     }
 
--- a/node/src/main/java/tansypass/node/http/RequestBody.java
+++ b/node/src/main/java/tansypass/node/http/RequestBody.java
@@ -119,8 +119,8 @@
         onContent = () -> {};
     }
 
-    /** Returns the next part, which the caller has to release, or null if none is available yet. */
-    ByteBuf readNext() {
+    /** Returns the next part, which the caller has to release; null if none is available yet. */
+    ByteBuf readNextOrNull() {
         if (nextPart == parts.size()) {
             return null;
         }
--- a/node/src/main/java/tansypass/node/http/RequestBodyWriter.java
+++ b/node/src/main/java/tansypass/node/http/RequestBodyWriter.java
@@ -37,11 +37,11 @@
 
     /** Writes what is available; has to be called again when the channel becomes writable. */
     public void writeAvailable() {
-        ByteBuf part = !closed && channel.isWritable() ? body.readNext() : null;
+        ByteBuf part = !closed && channel.isWritable() ? body.readNextOrNull() : null;
         while (part != null) {
             progressTimeout.recordProgress();
             channel.write(new DefaultHttpContent(part));
-            part = !closed && channel.isWritable() ? body.readNext() : null;
+            part = !closed && channel.isWritable() ? body.readNextOrNull() : null;
         }
         if (!closed && body.isFullyRead()) {
             close();
--- a/node/src/main/java/tansypass/node/http/RequestDecoder.java
+++ b/node/src/main/java/tansypass/node/http/RequestDecoder.java
@@ -19,7 +19,7 @@
     @Override
     protected HttpMessage createMessage(String[] initialLine) throws Exception {
         if (!initialLine[2].matches("HTTP/1\\.[0-9]")) {
-            throw new IllegalArgumentException("not an HTTP/1.1 request line");
+            throw new MalformedMessageException("not a version of HTTP/1: " + initialLine[2]);
         }
         return super.createMessage(initialLine);
     }
--- a/node/src/main/java/tansypass/node/http/ResponseDecoder.java
+++ b/node/src/main/java/tansypass/node/http/ResponseDecoder.java
@@ -20,7 +20,8 @@
     @Override
     protected HttpMessage createMessage(String[] initialLine) {
         if (!initialLine[0].startsWith("HTTP/1.") || !initialLine[1].matches("[1-5][0-9][0-9]")) {
-            throw new IllegalArgumentException("not an HTTP/1.1 status line");
+            throw new MalformedMessageException(
+                    "not an HTTP/1 version and status: " + initialLine[0] + " " + initialLine[1]);
         }
         return super.createMessage(initialLine);
     }
--- a/node/src/main/java/tansypass/node/http/ResponseReader.java
+++ b/node/src/main/java/tansypass/node/http/ResponseReader.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns the sink that it is streamed to; null unless {@link #isStreaming}. */
-    public ResponseBodySink sink() {
+    public ResponseBodySink sinkOrNull() {
         return sink;
     }
 
@@ -147,8 +147,8 @@
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
-    /** Returns the Content-Type, or null if the head has none. */
-    public String contentType() {
+    /** Returns the Content-Type; null if the head has none. */
+    public String contentTypeOrNull() {
         return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
     }
 
@@ -161,6 +161,6 @@
     public UpstreamResponse takeBuffered() {
         byte[] body = buffered.isReadable() ? new byte[buffered.readableBytes()] : EMPTY_BODY;
         buffered.readBytes(body);
-        return new UpstreamResponse(head.status().code(), contentType(), body);
+        return new UpstreamResponse(head.status().code(), contentTypeOrNull(), body);
     }
 }
--- a/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -48,7 +48,7 @@
             try {
                 Class.forName(startClass.getName());
             } catch (ClassNotFoundException e) {
-                throw new IllegalStateException(e);
+                throw new IllegalStateException("class of the start not found: " + startClass, e);
             }
         }
     }
--- a/node/src/main/java/tansypass/node/process/HangupSignal.java
+++ b/node/src/main/java/tansypass/node/process/HangupSignal.java
@@ -11,10 +11,17 @@
     /**
      * Sets what runs at each signal, on a thread of the Java runtime.
      *
-     * @throws ReflectiveOperationException if this runtime has no signal handlers
-     * @throws IllegalArgumentException if the operating system has no such signal
+     * @throws SignalUnavailableException if this runtime has no signal handlers, or the operating system no such signal
      */
-    static void setHandler(Runnable action) throws ReflectiveOperationException {
+    static void setHandler(Runnable action) throws SignalUnavailableException {
+        try {
+            setHandlerByReflection(action);
+        } catch (ReflectiveOperationException | IllegalArgumentException e) {
+            throw new SignalUnavailableException(NAME, e);
+        }
+    }
+
+    private static void setHandlerByReflection(Runnable action) throws ReflectiveOperationException {
         // By reflection: Java has no public API for signals, and the compiler's warning on the internal one can't be
         // turned off.
         Class<?> signalType = Class.forName("sun.misc.Signal");
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -125,9 +125,9 @@
     private void reloadOnHangup() {
         try {
             HangupSignal.setHandler(this::reload);
-        } catch (ReflectiveOperationException | IllegalArgumentException e) {
+        } catch (SignalUnavailableException e) {
             // The node can serve, but a reload then ends it: operators have to know.
-            StandardErrorPrinter.print("SIGHUP can't be handled: " + e);
+            StandardErrorPrinter.print(e.getMessage());
         }
     }
 
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -15,7 +15,6 @@
 import tansypass.balancer.LoadBalancer;
 import tansypass.balancer.RequestClass;
 import tansypass.balancer.ServiceQLoadBalancer;
-import tansypass.node.InvalidNodeConfigException;
 import tansypass.node.NodeConfig;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.balancing.BalancerExecutor;
@@ -48,7 +47,7 @@
     private static final long KILL_GRACE_MS = 700;
     /** Time kept for writing the last responses. */
     private static final long STOP_MARGIN_MS = 50;
-    /** A node that is partly warm is better than none; a slow machine does not complete the warm-up in time. */
+    /** A partly warmed-up node can serve; a slow machine does not complete the warm-up in time. */
     private static final long WARM_UP_TIMEOUT_MS = 2_500;
 
     private static final long US_PER_MS = 1_000;
@@ -63,11 +62,7 @@
     private final RequestDispatcher dispatcher;
     private final HttpFrontend frontend;
 
-    /**
-     * Creates a node that is not started; may be called from any thread.
-     *
-     * @throws InvalidNodeConfigException if the decision module rejects the settings
-     */
+    /** Creates a node that is not started; may be called from any thread. */
     public ProxyNode(NodeConfig config, EventLoop loop) {
         this(config, loop, UpstreamConnectionPool.QUARANTINE_MS);
     }
@@ -89,7 +84,7 @@
                 loop, descriptors, settings.connectTimeoutUs(), settings.connectionIdleUs(), quarantineMs);
         endpoints = new EndpointListAdapter(config, loop, balancer, pool);
         dispatcher = new RequestDispatcher(balancer, pool, endpoints, metrics);
-        balancer.setBalancer(createBalancer());
+        balancer.setBalancer(new ServiceQLoadBalancer(settings, config.seed(), dispatcher));
         frontend = new HttpFrontend(
                 loop, descriptors, new ClientRequestParser(settings), lifecycle, metrics, dispatcher::accept);
     }
@@ -104,16 +99,6 @@
         return new ProxyNode(WarmUp.createSenderConfig(targetConfig, target), loop, WarmUp.SENDER_QUARANTINE_MS);
     }
 
-    private LoadBalancer createBalancer() {
-        try {
-            return new ServiceQLoadBalancer(config.settings(), config.seed(), dispatcher);
-        } catch (IllegalArgumentException e) {
-            // Its timer would stay scheduled.
-            pool.close();
-            throw InvalidNodeConfigException.from(e);
-        }
-    }
-
     /**
      * Applies the configuration's endpoint list, warms up, and then listens on the clients' address.
      *
@@ -212,7 +197,7 @@
         endpoints.setDiscoveryAddress(changed.discovery());
     }
 
-    /** Reports a change of the cluster's size, as {@link LoadBalancer#onClusterSize} takes it; from any thread. */
+    /** Reports a change of the cluster's size, see {@link LoadBalancer#onClusterSize}; from any thread. */
     public void onClusterSize(int present, int lost) {
         balancer.executeOnLoop(b -> b.onClusterSize(balancer.nowUs(), present, lost));
     }
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
@@ -73,7 +73,7 @@
         server.endExpired();
         boolean hasWaiting = server.hasWaiting();
         if (hasWaiting && isReusable(System.nanoTime())) {
-            send(server.pollWaiting());
+            send(server.removeFirstWaiting());
         } else if (server.isRemoved() && !hasWaiting) {
             channel.close();
         } else {
--- a/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
@@ -189,7 +189,7 @@
         }
         stopTimers();
         response.streamTo(attempt.handler()
-                .onResponseStarted(response.contentType(), response.contentLength(), this::resumeReading));
+                .onResponseStarted(response.contentTypeOrNull(), response.contentLength(), this::resumeReading));
         stallTimeout.start(UpstreamConnectionPool.STALL_TIMEOUT_MS);
         pauseReadingIfFull();
     }
@@ -201,7 +201,7 @@
     }
 
     private void pauseReadingIfFull() {
-        if (!response.sink().isWritable()) {
+        if (!response.sinkOrNull().isWritable()) {
             channel.config().setAutoRead(false);
             stallTimeout.changeTimeout(CLIENT_STALL_TIMEOUT_MS);
         }
@@ -237,7 +237,7 @@
         if (result != null) {
             reportResponse();
         } else if (attempt != null && response.isStreaming()) {
-            response.sink().flush();
+            response.sinkOrNull().flush();
         }
     }
 
@@ -245,7 +245,7 @@
     private void reportResponse() {
         UpstreamAttempt completed = attempt;
         AttemptResult completedResult = result;
-        ResponseBodySink sink = response.sink();
+        ResponseBodySink sink = response.sinkOrNull();
         UpstreamResponse buffered = sink == null ? response.takeBuffered() : null;
         stopTimers();
         attempt = null;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
 import tansypass.balancer.ServerState;
@@ -146,9 +147,9 @@
         return waitingAttempts.remove(attempt);
     }
 
-    /** Removes and returns the attempt that has waited longest, or null. */
-    UpstreamAttempt pollWaiting() {
-        return waitingAttempts.poll();
+    /** Removes and returns the attempt that has waited longest; there has to be one. */
+    UpstreamAttempt removeFirstWaiting() {
+        return waitingAttempts.remove();
     }
 
     /**
@@ -185,8 +186,8 @@
         idleConnections.remove(connection);
     }
 
-    /** Removes and returns the most recently used connection that is out of quarantine, or returns null. */
-    UpstreamConnection takeIdle() {
+    /** Removes and returns the most recently used connection that is out of quarantine; null if there is none. */
+    UpstreamConnection takeIdleOrNull() {
         long nowNanos = System.nanoTime();
         while (!idleConnections.isEmpty() && !idleConnections.peek().isUsable(nowNanos)) {
             idleConnections.poll().close();
@@ -200,9 +201,9 @@
         return null;
     }
 
-    /** Returns the least recently used idle connection, or null. */
-    UpstreamConnection oldestIdle() {
-        return idleConnections.peekLast();
+    /** Returns the least recently used idle connection, if there is one. */
+    Optional<UpstreamConnection> oldestIdle() {
+        return Optional.ofNullable(idleConnections.peekLast());
     }
 
     /** Closes the least recently used idle connection; there has to be one. */
@@ -234,10 +235,10 @@
 
     private void dispatchWaiting() {
         endExpired();
-        UpstreamConnection connection = waitingAttempts.isEmpty() ? null : takeIdle();
+        UpstreamConnection connection = waitingAttempts.isEmpty() ? null : takeIdleOrNull();
         while (connection != null) {
             connection.send(waitingAttempts.poll());
-            connection = waitingAttempts.isEmpty() ? null : takeIdle();
+            connection = waitingAttempts.isEmpty() ? null : takeIdleOrNull();
         }
     }
 }
--- a/node/src/test/java/tansypass/node/http/RequestBodyTest.java
+++ b/node/src/test/java/tansypass/node/http/RequestBodyTest.java
@@ -27,7 +27,7 @@
 
     private int readAll() {
         int read = 0;
-        for (ByteBuf part = body.readNext(); part != null; part = body.readNext()) {
+        for (ByteBuf part = body.readNextOrNull(); part != null; part = body.readNextOrNull()) {
             read += part.readableBytes();
             part.release();
         }
@@ -59,7 +59,7 @@
         }
         assertTrue(full < BodyMemoryLimiter.WINDOW_BYTES + 10_000, "buffered " + full);
         assertEquals(0, windowAvailableCalls + notReplayableCalls);
-        body.readNext().release();
+        body.readNextOrNull().release();
         assertEquals(1, windowAvailableCalls, "window has room again");
         assertEquals(1, notReplayableCalls);
         assertFalse(body.isReplayable());
@@ -91,7 +91,7 @@
         }
         int parts = 0;
         int read = 0;
-        for (ByteBuf part = body.readNext(); part != null; part = body.readNext()) {
+        for (ByteBuf part = body.readNextOrNull(); part != null; part = body.readNextOrNull()) {
             parts++;
             while (part.isReadable()) {
                 assertEquals((byte) read++, part.readByte());
@@ -117,7 +117,7 @@
         for (RequestBody each : many) {
             each.close();
             each.close();
-            assertNull(each.readNext());
+            assertNull(each.readNextOrNull());
         }
         assertEquals(0, memoryLimiter.usedBytes());
     }
