--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -47,7 +47,7 @@
     private static final long KILL_GRACE_MS = 700;
     /** Time kept for writing the last responses. */
     private static final long STOP_MARGIN_MS = 50;
-    /** A node that is partly warm is better than none; a slow machine does not complete the warm-up in time. */
+    /** A partly warmed-up node can serve; a slow machine does not complete the warm-up in time. */
     private static final long WARM_UP_TIMEOUT_MS = 2_500;
 
     private static final long US_PER_MS = 1_000;
@@ -197,7 +197,7 @@
         endpoints.setDiscoveryAddress(changed.discovery());
     }
 
-    /** Reports a change of the cluster's size, as {@link LoadBalancer#onClusterSize} takes it; from any thread. */
+    /** Reports a change of the cluster's size, see {@link LoadBalancer#onClusterSize}; from any thread. */
     public void onClusterSize(int present, int lost) {
         balancer.executeOnLoop(b -> b.onClusterSize(balancer.nowUs(), present, lost));
     }
