--- a/node/src/main/java/tansypass/balancer/ClientThrottle.java
+++ b/node/src/main/java/tansypass/balancer/ClientThrottle.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
 /**
- * Departure from ServiceQ, client-side throttling: once too few attempts have a response in time, this node sends only a
- * few attempts for each of those that have, so that its load falls until an overloaded cluster recovers.
+ * Departure from ServiceQ, client-side throttling: once too few attempts have a response in time, this node sends
+ * only a few attempts for each of those that have, so that its load falls until an overloaded cluster recovers.
  */
 final class ClientThrottle {
     /** Share of a new response in the success ratio. */
--- a/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
 /**
- * Estimates the time since a client's first try from the time that its request has left. The mode of the times left of a
- * class's requests is that of first tries; a request with less left is a later try.
+ * Estimates the time since a client's first try from the time that its request has left. The mode of the times left
+ * of a class's requests is that of first tries; a request with less left is a later try.
  */
 final class ElapsedTimeEstimator {
     /** Times left that differ by less than this share of the deadline are the same: delays on the way differ. */
--- a/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
+++ b/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
@@ -52,7 +52,9 @@
                 recordFault(server, nowUs);
             }
             case CONNECT_FAILED, RESET -> recordFault(server, nowUs);
-            case CANCELLED, NOT_SENT -> {}
+            default -> {
+                // Cancelled or not sent: nothing is learned of the server.
+            }
         }
     }
 
--- a/node/src/main/java/tansypass/balancer/PendingRequest.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A request that is owed a final response, or whose last attempt is still in flight. It has at most one attempt in flight
- * at a time. Times are microseconds of the caller's clock.
+ * A request that is owed a final response, or whose last attempt is still in flight. It has at most one attempt in
+ * flight at a time. Times are microseconds of the caller's clock.
  */
 final class PendingRequest {
     /** Where a request is on its way. */
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Departure from ServiceQ, probe-based selection: where nodes outnumber servers, two servers that are drawn get a probe,
- * and the request goes to the first that responds.
+ * Departure from ServiceQ, probe-based selection: where nodes outnumber servers, two servers that are drawn get a
+ * probe, and the request goes to the first that responds.
  */
 final class ProbeSelection {
     /** A probe is waited for during this share of the mean latency of the request's class. */
--- a/node/src/main/java/tansypass/balancer/ResponseStatistics.java
+++ b/node/src/main/java/tansypass/balancer/ResponseStatistics.java
@@ -30,7 +30,9 @@
         return latencyUs[pending.classIndex()].mean();
     }
 
-    /** Minimum of the mean latency of the request's class, {@link Double#MAX_VALUE} until there are enough responses. */
+    /**
+     * Minimum of the mean latency of the request's class, {@link Double#MAX_VALUE} until there are enough responses.
+     */
     double minLatencyUs(PendingRequest pending) {
         return latencyUs[pending.classIndex()].minimum();
     }
--- a/node/src/main/java/tansypass/balancer/Server.java
+++ b/node/src/main/java/tansypass/balancer/Server.java
@@ -2,9 +2,9 @@
 
 /**
  * One server as this node knows it: its entry on the endpoint list, which {@link EndpointTable} sets, its count of
- * errors, which {@link ErrorWeights} keeps, its attempts in flight, which {@link EndpointTable} counts, and the state of
- * the parts of the load balancer. Only the owner of a state changes it, but for {@link #restart} and {@link #resetHealth}.
- * Times are microseconds of the caller's clock.
+ * errors, which {@link ErrorWeights} keeps, its attempts in flight, which {@link EndpointTable} counts, and the state
+ * of the parts of the load balancer. Only the owner of a state changes it, but for {@link #restart} and {@link
+ * #resetHealth}. Times are microseconds of the caller's clock.
  */
 final class Server {
     /** Power of the listed weight: busy to the same degree, a large server still responds sooner than a small one. */
--- a/node/src/main/java/tansypass/balancer/ServerHealthListener.java
+++ b/node/src/main/java/tansypass/balancer/ServerHealthListener.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
 /**
- * Is notified of what operators should know of the servers. After a notification, others are dropped for a second. Calls
- * come on the thread of the event method.
+ * Is notified of what operators should know of the servers. After a notification, others are dropped for a second.
+ * Calls come on the thread of the event method.
  */
 public interface ServerHealthListener {
     /**
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -7,8 +7,8 @@
  * Power of two choices, weighted by errors: of two servers that are drawn with weights that fall with their errors, a
  * request goes to the one with fewer attempts in flight. This class hands each event to the parts that decide.
  *
- * <p>After "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark each departure from the
- * paper; docs/design.md explains them.
+ * <p>After "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark each departure
+ * from the paper; docs/design.md explains them.
  */
 public final class WeightedTwoChoicesLoadBalancer implements LoadBalancer {
     private final BalancerSettings settings;
