--- a/node/src/main/java/tansypass/balancer/ServerSelector.java
+++ b/node/src/main/java/tansypass/balancer/ServerSelector.java
@@ -11,7 +11,7 @@
     /** How often a server that may not be sent to is drawn again before all are looked through. */
     private static final int MAX_REDRAWS = 3;
 
-    /** From so many attempts in flight on, a local server competes with other zones'; they win with fewer by as many. */
+    /** From so many attempts in flight on, a local server competes with other zones; they win with fewer by as many. */
     private static final int SPILLOVER_IN_FLIGHT = 2;
 
     private final BalancerSettings settings;
