--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -21,7 +21,7 @@
 
     /**
      * Serves until SIGTERM with the configuration that the environment gives. With the argument {@code rehearse} it
-     * goes through a start once, for the class data sharing archive that the build makes, and ends.
+     * performs the training run of the build's class data sharing archive instead, and ends.
      */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals(TRAINING_ARGUMENT)) {
--- a/node/src/main/java/tansypass/node/discovery/EndpointWatchConnection.java
+++ b/node/src/main/java/tansypass/node/discovery/EndpointWatchConnection.java
@@ -34,7 +34,7 @@
  * the event loop only.
  */
 final class EndpointWatchConnection extends ChannelInboundHandlerAdapter {
-    /** The agent runs on this machine: a response head, or the rest of a message, takes no longer than this. */
+    /** The agent runs on this machine: a response head, or the remainder of a message, arrives within this time. */
     static final long RESPONSE_TIMEOUT_MS = 1_000;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Parses all complete messages and sets a time limit on the rest of an incomplete one. */
+    /** Parses all complete messages and sets a time limit on the remainder of an incomplete one. */
     private void parseMessages(ByteBuf content) throws MalformedWatchEventException {
         received.writeBytes(content);
         boolean continuesMessage = framer.isInMessage();
--- a/node/src/main/java/tansypass/node/frontend/ClientConnection.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnection.java
@@ -18,8 +18,8 @@
 
 /**
  * A client's connection, which serves one request at a time. It connects the parts: {@link RequestReader},
- * {@link PipelinedInput}, {@link ResponseWriter} and {@link ClientTimeouts}; and owns the channel and the request in flight. Used on the
- * event loop only.
+ * {@link PipelinedInput}, {@link ResponseWriter} and {@link ClientTimeouts}; and owns the channel and
+ * the request in flight. Used on the event loop only.
  */
 public final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
@@ -118,7 +118,7 @@
         return reader.isHeadRequest();
     }
 
-    /** Returns whether another request may follow the present response; while draining only one that is here. */
+    /** Returns whether another request may follow the present response; while draining only one already received. */
     boolean canKeepAlive() {
         return reader.incomingOrNull() == null && (!frontend.lifecycle().isDraining() || !pipelined.isEmpty());
     }
@@ -149,7 +149,7 @@
     /** Processes the input that waits, if any, in a turn of the event loop of its own. */
     void schedulePipelinedInput() {
         if (!pipelined.isEmpty()) {
-            // Not from here: the stack would grow with a long series of invalid requests.
+            // Not by a direct call: the stack would grow with a long series of invalid requests.
             channel.eventLoop().execute(this::processPipelinedInput);
         }
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    /** The client has sent more behind a request than may be buffered: it gets the response due, and no other. */
+    /** Called when the client has sent more behind a request than may be buffered: no other request is served. */
     void onPipelineOverflow() {
         pipelined.clear();
         if (isBusy()) {
@@ -171,7 +171,7 @@
     }
 
     /**
-     * Closes the connection because what follows can't be understood. A complete request gets its response first;
+     * Closes the connection because what follows can't be parsed. A complete request gets its response first;
      * an incomplete one is abandoned, and no server has all of it.
      */
     void reject(BadRequestException e) {
--- a/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
@@ -18,9 +18,9 @@
 final class ClientConnectionRegistry {
     private static final long SWEEP_INTERVAL_MS = 100;
     /**
-     * How long the clients' load balancer may go on sending after the node is no longer ready: up to 0.1 s until
+     * How long the clients' load balancer may continue to send after the node is no longer ready: up to 0.1 s until
      * its next readiness check, 0.2 s more, and some reserve. Idle connections are closed then, so that their
-     * clients go elsewhere.
+     * clients reconnect to another node.
      */
     private static final long LOAD_BALANCER_NOTICE_MS = 400;
 
@@ -77,7 +77,7 @@
         sweep();
     }
 
-    /** Clients may connect and send nothing, or half a request, for ever. */
+    /** Closes what times out: clients may connect and never send a complete request. */
     private void sweep() {
         long nowNs = System.nanoTime();
         boolean closingIdle = isClosingIdle(nowNs);
--- a/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
@@ -26,7 +26,7 @@
     private long waitingSinceNs;
     private boolean bytesReceived;
 
-    /** Creates the timeouts of a connection that waits for nothing yet. */
+    /** Creates the timeouts of a connection that does not wait for a request yet. */
     ClientTimeouts(ClientConnection connection, Channel channel) {
         this.connection = connection;
         this.channel = channel;
--- a/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
+++ b/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
@@ -85,7 +85,7 @@
         new ClientConnection(this, pipeline.channel()).addHandlers(pipeline);
     }
 
-    /** Responds to requests with this token in {@link #WARM_UP_HEADER} here, also after the warm-up's end. */
+    /** Responds locally to requests with this token in {@link #WARM_UP_HEADER}, also after the warm-up's end. */
     public void setWarmUpToken(String token) {
         localResponder.setWarmUpToken(token);
     }
--- a/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
+++ b/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
@@ -36,7 +36,7 @@
      * before the end of the window.
      *
      * @param nowNs the present {@link System#nanoTime}
-     * @param reading whether the connection is being read: if not, the client is not to blame
+     * @param reading whether the connection is being read: if not, the rate is not the client's
      */
     boolean isTooSlow(long nowNs, boolean reading) {
         long elapsedNs = nowNs - windowStartNs;
--- a/node/src/main/java/tansypass/node/frontend/LocalResponder.java
+++ b/node/src/main/java/tansypass/node/frontend/LocalResponder.java
@@ -15,7 +15,7 @@
     private final Lifecycle lifecycle;
     private String warmUpToken;
 
-    /** Creates a responder that knows no warm-up. */
+    /** Creates a responder without a warm-up token. */
     LocalResponder(Lifecycle lifecycle) {
         this.lifecycle = lifecycle;
     }
--- a/node/src/main/java/tansypass/node/frontend/PipelinedInput.java
+++ b/node/src/main/java/tansypass/node/frontend/PipelinedInput.java
@@ -16,8 +16,8 @@
 /**
  * What a client sends while an earlier request waits for its response (HTTP pipelining). It owns these bytes and
  * messages until they are processed or cleared. It comes before the decoder in the pipeline: it sees bytes
- * before a head is complete, and keeps those that have to wait undecoded, so that reading can go on and shows
- * when the client disconnects. Used on the event loop only.
+ * before a head is complete, and keeps those that have to wait undecoded, so that reading continues and detects
+ * a disconnect. Used on the event loop only.
  */
 final class PipelinedInput extends ChannelInboundHandlerAdapter {
     /** A decoded message, and when it may have arrived at the earliest, by {@link System#nanoTime}. */
@@ -37,7 +37,7 @@
         undecoded = new InboundBuffer(memoryLimiter);
     }
 
-    /** Returns whether nothing waits. */
+    /** Returns whether no message and no bytes are queued. */
     boolean isEmpty() {
         return messages.isEmpty() && undecoded.isEmpty();
     }
--- a/node/src/main/java/tansypass/node/frontend/RequestHeadValidator.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestHeadValidator.java
@@ -9,7 +9,7 @@
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.HttpMessageValidator;
 
-/** Checks that hold for every request whatever its class, and the errors that they end in. */
+/** Validates what is required of requests of every class, and creates the errors to respond with. */
 final class RequestHeadValidator {
     /** Bodies reach 32 MB; no client sends one well past that. */
     static final long MAX_BODY_BYTES = 40L << 20;
--- a/node/src/main/java/tansypass/node/frontend/RequestReader.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestReader.java
@@ -43,7 +43,7 @@
         return incoming;
     }
 
-    /** Forgets the request being received; the rest of it is ignored. */
+    /** Forgets the request being received; the remainder of it is ignored. */
     void clear() {
         incoming = null;
     }
@@ -121,7 +121,7 @@
         updateReading();
     }
 
-    /** Suspends or resumes reading. It goes on unless a window is full: only reading shows a disconnect. */
+    /** Suspends or resumes reading. Reading continues unless a window is full: only reading detects a disconnect. */
     void updateReading() {
         boolean windowFull = incoming != null
                 && !incoming.complete
--- a/node/src/main/java/tansypass/node/http/InboundBuffer.java
+++ b/node/src/main/java/tansypass/node/http/InboundBuffer.java
@@ -33,7 +33,7 @@
         return chunks.isEmpty();
     }
 
-    /** Returns whether more is buffered than one connection may hold. */
+    /** Returns whether more is buffered than one connection may buffer. */
     public boolean isOverLimit() {
         return bufferedBytes > memoryLimiter.windowBytes();
     }
--- a/node/src/main/java/tansypass/node/http/ResponseBodySink.java
+++ b/node/src/main/java/tansypass/node/http/ResponseBodySink.java
@@ -4,7 +4,7 @@
 
 /** Receives the body of a long response part by part. Used on one event loop only. */
 public interface ResponseBodySink {
-    /** Discards everything, for a response that nobody waits for any more. */
+    /** Discards everything, for a response that is no longer needed. */
     ResponseBodySink DISCARDING = new ResponseBodySink() {
         @Override
         public void write(ByteBuf part) {
--- a/node/src/main/java/tansypass/node/http/ResponseReader.java
+++ b/node/src/main/java/tansypass/node/http/ResponseReader.java
@@ -28,7 +28,7 @@
         INCOMPLETE,
         /** More is expected, and it is too long to be buffered: see {@link #streamTo}. */
         LONG,
-        /** It is complete, or all of it that matters is here. */
+        /** It is complete, or as much of it as is needed has been received. */
         COMPLETE,
         /** It is not a valid response. */
         MALFORMED
--- a/node/src/main/java/tansypass/node/lifecycle/ArrivalEstimator.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ArrivalEstimator.java
@@ -5,13 +5,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Estimates when the bytes and connections that an event loop takes from the kernel's queues arrived there, which
- * the kernel does not tell. What a poll finds at once may have arrived at any time since the poll before it, during
+ * Estimates when the bytes and connections that an event loop reads from the kernel's queues arrived there, which
+ * the kernel does not report. What a poll finds at once may have arrived at any time since the poll before it, during
  * a long turn of the loop for example; what ends a poll's wait has only just arrived. All times are in nanoseconds
  * by {@link System#nanoTime}. One for each event loop, used on its thread only.
  */
 public final class ArrivalEstimator {
-    /** A poll that returns sooner has not waited: it found what was there before. */
+    /** A poll that returns sooner has not waited: it found what had arrived before. */
     private static final long MIN_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private static final FastThreadLocal<ArrivalEstimator> CURRENT = new FastThreadLocal<>();
@@ -67,7 +67,7 @@
         if (pollTimeoutNs == 0 || waitedNs < MIN_WAIT_NS) {
             return previousPollEndNs;
         }
-        // Past its timeout the thread was kept from running: it may have been woken at the timeout already.
+        // After its timeout the thread was not scheduled: it may have been woken at the timeout already.
         return pollEndNs - Math.max(0, waitedNs - pollTimeoutNs);
     }
 }
--- a/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
+++ b/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Starts draining: clients are asked to leave while the process goes on running. No effect while stopping. */
+    /** Starts draining: each response closes its connection, and the process continues. No effect while stopping. */
     public synchronized void startDraining() {
         if (state != State.STOPPING) {
             transitionTo(State.LAME_DUCK);
--- a/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * The kernel does not tell when a connection was established: after a pause each may be as old as that until
-     * the queue has been found empty, and any may have come during the last turn of the event loop.
+     * The kernel does not report when a connection was established: after a pause each may be as old as that until
+     * the queue has been found empty, and any may have arrived during the last turn of the event loop.
      */
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
--- a/node/src/main/java/tansypass/node/process/HangupSignal.java
+++ b/node/src/main/java/tansypass/node/process/HangupSignal.java
@@ -23,7 +23,7 @@
 
     private static void setHandlerByReflection(Runnable action) throws ReflectiveOperationException {
         // By reflection: Java has no public API for signals, and the compiler's warning on the internal one can't be
-        // turned off.
+        // suppressed.
         Class<?> signalType = Class.forName("sun.misc.Signal");
         Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
         Object handler = Proxy.newProxyInstance(
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -32,7 +32,7 @@
 
     /** Time for responses that have started, beyond the node's own timeout, unless SIGKILL comes first. */
     private static final long STOP_GRACE_MS = 5_000;
-    /** An operator's client has given up by then. */
+    /** An operator's client has timed out by then. */
     private static final long ADMIN_CALL_TIMEOUT_MS = 3_000;
 
     private final ConfigSource source;
@@ -78,8 +78,9 @@
 
     private void start(UnaryOperator<String> metricsFormatter, ClusterView cluster) {
         loadLogClasses();
-        // The process stops by its shutdown hook only: a loop that ends earlier has met a fault, and a process without
-        // its loop serves nobody.
+        // The process stops by its shutdown hook only: a loop that ends earlier does so by a fault, and a process
+        // without
+        // its loop can't serve clients.
         group.terminationFuture().addListener(ended -> exit("the event loop has ended by a fault", EXIT_FAILURE));
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         if (cluster != null) {
--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -20,7 +20,8 @@
 
 /**
  * A client's request from its arrival until its response has been sent and none of its attempts is in flight. It
- * owns the timer of its deadline, which {@link RelayDeadline} replaces once a response is being relayed. Used on the event loop only.
+ * owns the timer of its deadline, which {@link RelayDeadline} replaces once a response is being relayed. Used on the
+ * event loop only.
  */
 final class InFlightRequest implements RequestAttempt.Listener, RelayDeadline.Listener {
     /** Is notified when a request is complete. */
@@ -226,7 +227,7 @@
         notifyClientDisconnect();
     }
 
-    /** Counts an attempt as ended, and ends the request if the attempt has brought its response. */
+    /** Counts an attempt as ended, and ends the request if the attempt has ended with its response. */
     @Override
     public void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed) {
         attemptsInFlight--;
--- a/node/src/main/java/tansypass/node/request/RequestAttempt.java
+++ b/node/src/main/java/tansypass/node/request/RequestAttempt.java
@@ -29,7 +29,7 @@
         /**
          * Starts to relay the attempt's response to the client, unless the request has ended.
          *
-         * @return where the body's parts go
+         * @return the sink of the body's parts
          */
         ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable);
 
--- a/node/src/main/java/tansypass/node/upstream/AttemptHandler.java
+++ b/node/src/main/java/tansypass/node/upstream/AttemptHandler.java
@@ -25,7 +25,7 @@
 
     /**
      * Returns whether the request must not be sent any more once it has waited for a connection for the connect
-     * timeout. A deduplication window leaves a retry room for that and no more.
+     * timeout: a server's deduplication window allows a retry this delay and no longer one.
      */
     default boolean expiresWithConnectTimeout() {
         return false;
@@ -40,7 +40,7 @@
      * @param contentType as the server gave it, or null
      * @param length bytes of the body, or -1 if not known yet
      * @param whenWritable to be run when the sink is writable again after it was not
-     * @return where the body's parts go
+     * @return the sink of the body's parts
      */
     default ResponseBodySink onResponseStarted(String contentType, long length, Runnable whenWritable) {
         return ResponseBodySink.DISCARDING;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -50,10 +50,11 @@
     private final Map<String, UpstreamServer> servers = new HashMap<>();
 
     /**
-     * Creates a pool that knows no server yet.
+     * Creates a pool without servers.
      *
      * @param connectTimeoutUs microseconds until a connect fails
-     * @param serverIdleUs microseconds after which servers close an idle connection; closed here after half of it
+     * @param serverIdleUs microseconds after which servers close an idle connection; the pool does so after
+     *     half of that time
      * @param quarantineMs milliseconds from a response until its connection is used again
      */
     public UpstreamConnectionPool(
@@ -132,7 +133,7 @@
         if (connection != null) {
             connection.send(attempt);
         } else {
-            // If a connection leaves quarantine first, the new one is there for the next request.
+            // If a connection leaves quarantine first, the new one is available to the next request.
             attempt.waitForConnection(connectTimeoutMs);
             connect(server);
             server.scheduleDispatch();
--- a/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
@@ -22,7 +22,7 @@
 final class UpstreamExchange {
     /** How long a response of unknown length is buffered in case it is short; and how long the body of a rejection or
      * an error is awaited, after which its connection could be reused. */
-    private static final long RESPONSE_HOLD_MS = 50;
+    private static final long BUFFERING_TIMEOUT_MS = 50;
     /** The stall timeout while the client does not read. */
     private static final long CLIENT_STALL_TIMEOUT_MS = 10_000;
 
@@ -58,7 +58,7 @@
     /** Whether the connection can be used again after the present response. */
     private boolean reusable;
 
-    private ScheduledFuture<?> holdTimer;
+    private ScheduledFuture<?> bufferingTimer;
 
     /** Creates the exchanges of a channel, none of which is in progress. */
     UpstreamExchange(Channel channel, EventLoop loop, Listener listener) {
@@ -170,15 +170,15 @@
         if (response.isStreaming()) {
             stallTimeout.recordProgress();
             pauseReadingIfFull();
-        } else if (response.isLengthUnknown() && holdTimer == null) {
-            holdTimer = scheduleHold(this::startRelay);
-        } else if (response.isUnsuccessful() && holdTimer == null) {
-            holdTimer = scheduleHold(this::completeRejection);
+        } else if (response.isLengthUnknown() && bufferingTimer == null) {
+            bufferingTimer = scheduleBufferingTimeout(this::startRelay);
+        } else if (response.isUnsuccessful() && bufferingTimer == null) {
+            bufferingTimer = scheduleBufferingTimeout(this::completeRejection);
         }
     }
 
-    private ScheduledFuture<?> scheduleHold(Runnable action) {
-        return loop.schedule(action, RESPONSE_HOLD_MS, TimeUnit.MILLISECONDS);
+    private ScheduledFuture<?> scheduleBufferingTimeout(Runnable action) {
+        return loop.schedule(action, BUFFERING_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Relays what has been received of a response that is or may be long, and what follows. */
@@ -226,9 +226,9 @@
         if (bodyWriter != null && !requestWritten) {
             bodyWriter.close();
         }
-        if (holdTimer != null) {
-            holdTimer.cancel(false);
-            holdTimer = null;
+        if (bufferingTimer != null) {
+            bufferingTimer.cancel(false);
+            bufferingTimer = null;
         }
     }
 
--- a/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
@@ -73,7 +73,7 @@
         removed = true;
     }
 
-    /** Returns whether a connection of this generation goes to the present address and process. */
+    /** Returns whether a connection of this generation was made to the present address and process. */
     boolean isCurrent(int connectionGeneration) {
         return connectionGeneration == generation;
     }
@@ -154,7 +154,7 @@
 
     /**
      * Ends the waiting attempts that must not be sent any more. Their timers do the same, but after a stall the event
-     * loop looks at its sockets first, and would find a connection for them.
+     * loop polls its sockets first and could assign a connection to them.
      */
     void endExpired() {
         if (waitingAttempts.isEmpty()) {
--- a/node/src/main/java/tansypass/node/warmup/WarmUp.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUp.java
@@ -92,7 +92,7 @@
     /** Starts the warm-up. */
     public void run() {
         sender.startForWarmUp();
-        // Whatever goes wrong here must not keep the node from serving.
+        // A failure of the warm-up must not keep the node from serving.
         loop.schedule(this::end, deadlineNs - System.nanoTime(), TimeUnit.NANOSECONDS);
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             sendNext(new Client());
