--- a/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
@@ -12,25 +12,27 @@
 final class NodeToml {
     private NodeToml() {}
 
+    /**
+     * The addresses of a node.
+     *
+     * @param listen where it listens for clients
+     * @param admin where it listens for operators
+     * @param discovery its discovery agent
+     */
+    record Addresses(InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery) {}
+
     /**
      * Returns the configuration file of a node.
      *
      * @param seed of the node's random numbers, hexadecimal
      * @param membership the part that {@link #membership} returns, or empty
      */
-    static String of(
-            Scenario scenario,
-            int node,
-            String seed,
-            InetSocketAddress listen,
-            InetSocketAddress admin,
-            InetSocketAddress discovery,
-            String membership) {
-        return node(scenario, node, seed, listen, admin)
+    static String of(Scenario scenario, int node, String seed, Addresses addresses, String membership) {
+        return node(scenario, node, seed, addresses)
                 + """
                 [discovery]
                 address = "%s"
-                """.formatted(Channels.text(discovery))
+                """.formatted(Channels.text(addresses.discovery))
                 + service(scenario.nodes(), scenario.servers())
                 + """
                 [log]
@@ -40,8 +42,7 @@
                 + scenario.classes().stream().map(NodeToml::requestClass).collect(Collectors.joining());
     }
 
-    private static String node(
-            Scenario scenario, int node, String seed, InetSocketAddress listen, InetSocketAddress admin) {
+    private static String node(Scenario scenario, int node, String seed, Addresses addresses) {
         return """
                 [node]
                 name = "%s"
@@ -50,7 +51,11 @@
                 zone = "%s"
                 seed = "%s"
                 """.formatted(
-                ProcessNames.node(node), Channels.text(listen), Channels.text(admin), scenario.zone(node), seed);
+                        ProcessNames.node(node),
+                        Channels.text(addresses.listen),
+                        Channels.text(addresses.admin),
+                        scenario.zone(node),
+                        seed);
     }
 
     private static String service(Scenario.Nodes nodes, Scenario.Servers servers) {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -144,9 +144,7 @@
                         scenario,
                         number,
                         HexFormat.of().toHexDigits(RandomStreams.seedOf(context.seed, node.name())),
-                        node.clientAddress(),
-                        node.adminAddress(),
-                        agent.address(),
+                        new NodeToml.Addresses(node.clientAddress(), node.adminAddress(), agent.address()),
                         membershipPart(number)));
         node.setProcess(new NodeProcess(node.name(), command, file, log, reaper, context.loop, node::processDied));
         return node;
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -4,6 +4,7 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
+import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.runtime.Scheduler;
 import tansypass.testbed.model.LinkState;
@@ -18,11 +19,14 @@
     private final LinkState state;
     private final Set<RelayConnection> open;
     private final Channel accepted;
-    private Channel opened;
-    private RelayPipe there;
-    private RelayPipe back;
+    /** Empty until the target has accepted. */
+    private Optional<OpenedSide> openedSide = Optional.empty();
+
     private boolean wasReset;
 
+    /** The connection to the target, and the pipes to it and back. */
+    private record OpenedSide(Channel channel, RelayPipe there, RelayPipe back) {}
+
     /** Creates a connection that is in {@code open} until both of its channels are closed. */
     RelayConnection(EventLoop loop, Scheduler scheduler, LinkState state, Channel accepted, Set<RelayConnection> open) {
         this.loop = loop;
@@ -45,13 +49,13 @@
         });
     }
 
-    private void start(Channel channel) {
-        opened = channel;
-        opened.closeFuture().addListener(closed -> removeIfClosed());
-        there = new RelayPipe(scheduler, state, accepted, opened, Direction.THERE);
-        back = new RelayPipe(scheduler, state, opened, accepted, Direction.BACK);
+    private void start(Channel opened) {
+        RelayPipe there = new RelayPipe(scheduler, state, accepted, opened, Direction.THERE);
+        RelayPipe back = new RelayPipe(scheduler, state, opened, accepted, Direction.BACK);
         there.setReverse(back);
         back.setReverse(there);
+        openedSide = Optional.of(new OpenedSide(opened, there, back));
+        opened.closeFuture().addListener(closed -> removeIfClosed());
         accepted.pipeline().addLast(there);
         opened.pipeline().addLast(back);
         if (accepted.isActive()) {
@@ -66,21 +70,23 @@
     }
 
     private void removeIfClosed() {
-        if (!accepted.isOpen() && (opened == null || !opened.isOpen())) {
+        boolean isOpenedSideOpen =
+                openedSide.isPresent() && openedSide.get().channel().isOpen();
+        if (!accepted.isOpen() && !isOpenedSideOpen) {
             open.remove(this);
-            if (back != null) {
-                there.releasePending();
-                back.releasePending();
-            }
+            openedSide.ifPresent(side -> {
+                side.there().releasePending();
+                side.back().releasePending();
+            });
         }
     }
 
     /** Forwards what is pending, as far as the link passes it. */
     void flush() {
-        if (back != null) {
-            there.flush();
-            back.flush();
-        }
+        openedSide.ifPresent(side -> {
+            side.there().flush();
+            side.back().flush();
+        });
     }
 
     /** Resets both connections. */
@@ -88,10 +94,7 @@
         wasReset = true;
         // Both are prepared first: the end of one brings about the end of the other.
         Channels.endWithReset(accepted);
-        if (opened != null) {
-            Channels.endWithReset(opened);
-            opened.close();
-        }
+        openedSide.map(OpenedSide::channel).ifPresent(Channels::reset);
         accepted.close();
     }
 }
