--- a/node/src/main/java/tansypass/balancer/BalancerSettings.java
+++ b/node/src/main/java/tansypass/balancer/BalancerSettings.java
@@ -23,11 +23,12 @@
  * @param connectionIdleUs time after which servers close an idle connection, in microseconds
  * @param listPolling whether the endpoint list must be polled or subscribed to
  * @param maxPollIntervalUs longest interval between two polls of the endpoint list, in microseconds
- * @param drainGraceUs time in which sends to a server must end after notice that it is draining or gone, in microseconds
+ * @param drainGraceUs time in which sends to a server must end after notice that it is draining or gone, in
+ *     microseconds
  * @param slowStartCapacity least share of its capacity that a server starts with, in (0, 1]
  * @param slowStartUs longest time in which a server warms up, in microseconds
- * @param overloadMultiple a server that is warming up fails when all nodes together send it more than this multiple of its
- *     present capacity during {@code overloadWindowUs}; above 0
+ * @param overloadMultiple a server that is warming up fails when all nodes together send it more than this multiple of
+ *     its present capacity during {@code overloadWindowUs}; above 0
  * @param overloadWindowUs length of that window, in microseconds
  * @param crossZonePrice price of an attempt that crosses zones; 0 if crossing is free
  * @param probePrice price of one probe for each request, in the unit in which the priority weight of all requests is 1
--- a/node/src/main/java/tansypass/platform/EnvironmentConfigSource.java
+++ b/node/src/main/java/tansypass/platform/EnvironmentConfigSource.java
@@ -10,7 +10,7 @@
 import tansypass.node.configuration.InvalidNodeConfigException;
 import tansypass.node.configuration.NodeConfig;
 
-/** Reads the JSON file that the platform's {@code LB_*} variables name; the other variables override it. Thread-safe. */
+/** Reads the JSON file that {@code LB_CONFIG} names; the platform's other variables override it. Thread-safe. */
 public final class EnvironmentConfigSource implements ConfigSource {
     static final String FILE_VARIABLE = "LB_CONFIG";
     static final String LISTEN_VARIABLE = "LB_LISTEN";
--- a/node/src/main/java/tansypass/platform/MalformedEndpointListException.java
+++ b/node/src/main/java/tansypass/platform/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package tansypass.platform;
 
-/** A message is not a valid endpoint list; the message of the exception gives the reason in one line, with the value. */
+/** A text is not a valid endpoint list; the exception's message gives the reason in one line, with the value. */
 public final class MalformedEndpointListException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/test/java/tansypass/platform/InvalidValuesTest.java
+++ b/node/src/test/java/tansypass/platform/InvalidValuesTest.java
@@ -185,21 +185,21 @@
                 "limits | 5 | limits is missing or no object",
                 "settings | [] | settings is missing or no object",
                 "settings.zones | ['a',{}] | settings.zones has a value of the wrong form: {}",
-                "known | null | known: not an endpoint list: null",
-                "known.rev | 'x' | known: not an endpoint list: rev is not a number: x",
-                "known.all | [] | known: not an endpoint list: all is no flag: []",
-                "known.targets | 7 | known: not an endpoint list: targets is no list: 7",
-                "known.targets.0.uid | null | known: not an endpoint list: targets[0].uid is no text: null",
-                "known.targets.0.endpoint | 's:1' | known: not an endpoint list: targets[0].endpoint is not an address and port: s:1",
-                "known.targets.0.state | 'Odd' | known: not an endpoint list: targets[0].state is unknown: Odd",
-                "known.targets.0.az | {} | known: not an endpoint list: targets[0].az is no text: {}",
-                "known.targets.0.pod_group | 'x' | known: not an endpoint list: targets[0].pod_group is not a number: x",
-                "known.targets.0.capacity_hint | 'x' | known: not an endpoint list: targets[0].capacity_hint is not a number: x",
-                "known.targets.0.boot_ms | [1] | known: not an endpoint list: targets[0].boot_ms is no number: [1]"
+                "known | null | LIST null",
+                "known.rev | 'x' | LIST rev is not a number: x",
+                "known.all | [] | LIST all is no flag: []",
+                "known.targets | 7 | LIST targets is no list: 7",
+                "known.targets.0.uid | null | LIST targets[0].uid is no text: null",
+                "known.targets.0.endpoint | 's:1' | LIST targets[0].endpoint is not an address and port: s:1",
+                "known.targets.0.state | 'Odd' | LIST targets[0].state is unknown: Odd",
+                "known.targets.0.az | {} | LIST targets[0].az is no text: {}",
+                "known.targets.0.pod_group | 'x' | LIST targets[0].pod_group is not a number: x",
+                "known.targets.0.capacity_hint | 'x' | LIST targets[0].capacity_hint is not a number: x",
+                "known.targets.0.boot_ms | [1] | LIST targets[0].boot_ms is no number: [1]"
             })
     void anInvalidValueOfTheConfigurationIsNamedAsWritten(String path, String value, String message) {
         assertEquals(
-                message,
+                message.replace("LIST", "known: not an endpoint list:"),
                 messageForJson(
                         path, parse("{\"v\":" + value.replace('\'', '"') + "}").get("v")));
     }
--- a/node/src/test/java/tansypass/platform/PlatformNamesTest.java
+++ b/node/src/test/java/tansypass/platform/PlatformNamesTest.java
@@ -17,7 +17,8 @@
 class PlatformNamesTest {
     private static final Set<String> NAMES =
             new TreeSet<>(List.of(("known targets uid az pod_group capacity_hint boot_ms Terminating "
-                            + "balancers myZone realms quotaPerS overShareWorth countedBy membershipMode on_request quantumUs "
+                            + "balancers myZone realms quotaPerS overShareWorth countedBy membershipMode on_request "
+                            + "quantumUs "
                             + "attemptsCap parallelTries cancelling retryAfter dialTimeoutUs connIdleUs "
                             + "askWithinUs coldFrom coldUs overloadFactor fallUs crossZone "
                             + "onTimeUs aimStretch giveUpUs importance lateWorth windowUs "
