--- a/node/src/test/java/tansypass/balancer/SettingsTest.java
+++ b/node/src/test/java/tansypass/balancer/SettingsTest.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Validation of settings, and the embedding example of the README. */
+/** Validation of settings, and the defaults of those that are not set. */
 class SettingsTest {
     private static final RequestClass CLASS_WITHOUT_DEADLINE =
             new RequestClass("none", 0, 0, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void embeddingExampleOfReadmeSendsRequest() {
+    void requestIsSentUnderDefaultsOfSettingsThatAreNotSet() {
         BalancerSettings settings = BalancerSettings.builder()
                 .nodes(12)
                 .zones(List.of("hall"))
--- a/node/src/test/java/tansypass/node/FakePeer.java
+++ b/node/src/test/java/tansypass/node/FakePeer.java
@@ -3,6 +3,7 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -71,8 +72,10 @@
 
     /** Writes text in ISO 8859-1 and flushes it. */
     public static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        socket.getOutputStream().flush();
+        // Taken once: it can't be taken again after the other thread of a test has shut the output down.
+        OutputStream output = socket.getOutputStream();
+        output.write(text.getBytes(StandardCharsets.ISO_8859_1));
+        output.flush();
     }
 
     /** Replaces the reaction to requests that arrive from now on. */
