--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -13,7 +13,6 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
@@ -182,17 +181,20 @@
 
     /** Closes the connection that has been idle longest; returns whether there was one. */
     private boolean closeOldestIdle() {
-        Optional<UpstreamServer> oldest = servers.values().stream()
-                .filter(server -> server.oldestIdle().isPresent())
-                .min(UpstreamConnectionPool::compareOldestIdle);
-        oldest.ifPresent(UpstreamServer::closeOldestIdle);
-        return oldest.isPresent();
-    }
-
-    /** Compares by when their least recently used connections became idle; both must have one. */
-    private static int compareOldestIdle(UpstreamServer first, UpstreamServer second) {
-        return Long.signum(first.oldestIdle().orElseThrow().idleSinceNanos()
-                - second.oldestIdle().orElseThrow().idleSinceNanos());
+        UpstreamServer oldestServer = null;
+        UpstreamConnection oldest = null;
+        for (UpstreamServer server : servers.values()) {
+            UpstreamConnection candidate = server.oldestIdleOrNull();
+            if (candidate != null && (oldest == null || candidate.idleSinceNanos() - oldest.idleSinceNanos() < 0)) {
+                oldestServer = server;
+                oldest = candidate;
+            }
+        }
+        if (oldestServer == null) {
+            return false;
+        }
+        oldestServer.closeOldestIdle();
+        return true;
     }
 
     /** Sets up the handlers of a new channel. */
--- a/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
-import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import tansypass.balancer.AttemptResult;
 import tansypass.balancer.ServerState;
@@ -201,9 +200,9 @@
         return null;
     }
 
-    /** Returns the least recently used idle connection, if there is one. */
-    Optional<UpstreamConnection> oldestIdle() {
-        return Optional.ofNullable(idleConnections.peekLast());
+    /** Returns the least recently used idle connection; null if there is none. */
+    UpstreamConnection oldestIdleOrNull() {
+        return idleConnections.peekLast();
     }
 
     /** Closes the least recently used idle connection; there has to be one. */
