--- a/cluster/src/test/java/tansypass/cluster/membership/WireFormatTest.java
+++ b/cluster/src/test/java/tansypass/cluster/membership/WireFormatTest.java
@@ -49,8 +49,9 @@
         assertEquals(
                 "{" + ENVELOPE + "}",
                 new String(codec.encodeView(envelope), StandardCharsets.UTF_8).replace('"', '\''));
-        MembershipView view = new MembershipView(8, "0b", 9_000, true, 2_000, List.of(member), Map.of("n", 5_000L));
-        for (String standing : List.of("joined", "outside")) {
+        for (String standing : List.of("joined", "joining", "outside")) {
+            MembershipView view = new MembershipView(
+                    8, "0b", 9_000, standing.equals("joined"), 2_000, List.of(member), Map.of("n", 5_000L));
             assertEquals(
                     "{'name':'n','deployment':'d','version':8,'digest':'0b','standing':'" + standing
                             + "','health_factor':2,'disagreed_ms':7,'members':["
