--- a/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
@@ -158,8 +158,8 @@
         long versionBefore = state.table().version();
         for (Member update : envelope.updates()) {
             updates.apply(
-                    mayRefute(update, envelope.from())
-                            ? update.withState(MemberState.SUSPECT, update.incarnation(), envelope.from())
+                    mayRefute(update, envelope.senderName())
+                            ? update.withState(MemberState.SUSPECT, update.incarnation(), envelope.senderName())
                             : update);
         }
         if (state.table().version() - versionBefore > MAX_CHANGES_FOR_GOSSIP) {
@@ -202,7 +202,7 @@
         if (sender.digest().equals(digest)) {
             lastAgreedUs = state.scheduler().nowUs();
         } else if (!sender.digest().isEmpty()) {
-            state.table().find(sender.from()).filter(Member::isPresent).ifPresent(this::syncIfSettled);
+            state.table().find(sender.senderName()).filter(Member::isPresent).ifPresent(this::syncIfSettled);
         }
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
@@ -65,42 +65,43 @@
 
     private void probe(Member target) {
         state.counters().increment(Name.PROBES);
-        long number = state.nextSequenceNumber();
-        probes.begin(number, state.health()::improve);
-        ping(target, number);
+        long sequenceNumber = state.nextSequenceNumber();
+        probes.begin(sequenceNumber, state.health()::improve);
+        ping(target, sequenceNumber);
         long probeTimeoutUs = state.settings().probeTimeoutUs();
-        state.scheduler().after(scaledByHealth(probeTimeoutUs), () -> requestIndirectProbes(target, number));
+        state.scheduler().after(scaledByHealth(probeTimeoutUs), () -> requestIndirectProbes(target, sequenceNumber));
         long failAfterUs =
                 Math.min(state.settings().periodUs() - 1, Math.round(TIMEOUTS_UNTIL_FAILED * probeTimeoutUs));
-        state.scheduler().after(scaledByHealth(failAfterUs), () -> failProbe(target, number));
+        state.scheduler().after(scaledByHealth(failAfterUs), () -> failProbe(target, sequenceNumber));
     }
 
-    /** Pings a member under a number that may or may not be that of an outstanding probe. */
-    void ping(Member target, long number) {
+    /** Pings a member under a sequence number that may or may not be that of an outstanding probe. */
+    void ping(Member target, long sequenceNumber) {
         // A suspect is always notified of the suspicion, so that it can refute it (Lifeguard, section IV C).
         Optional<Member> firstUpdate = Optional.of(target).filter(member -> member.state() == MemberState.SUSPECT);
         Identity identity = target.identity();
         dissemination.send(
-                identity.address(), new Message.Ping(dissemination.newEnvelope(firstUpdate), number, identity.name()));
+                identity.address(),
+                new Message.Ping(dissemination.newEnvelope(firstUpdate), sequenceNumber, identity.name()));
     }
 
-    private void requestIndirectProbes(Member target, long number) {
-        if (!probes.isOutstanding(number) || state.isStopped()) {
+    private void requestIndirectProbes(Member target, long sequenceNumber) {
+        if (!probes.isOutstanding(sequenceNumber) || state.isStopped()) {
             return;
         }
         String targetName = target.identity().name();
         for (Member helper : state.randomPeers(state.settings().indirectProbes(), targetName)) {
             state.counters().increment(Name.HELP_ASKED);
-            probes.awaitNack(number, helper.identity().name());
+            probes.awaitNack(sequenceNumber, helper.identity().name());
             dissemination.send(
                     helper.identity().address(),
-                    new Message.PingRequest(dissemination.newEnvelope(), number, targetName));
+                    new Message.PingRequest(dissemination.newEnvelope(), sequenceNumber, targetName));
         }
     }
 
-    private void failProbe(Member target, long number) {
-        int missingNacks = probes.missingNacks(number);
-        if (!probes.end(number) || state.isStopped()) {
+    private void failProbe(Member target, long sequenceNumber) {
+        int missingNacks = probes.missingNacks(sequenceNumber);
+        if (!probes.end(sequenceNumber) || state.isStopped()) {
             return;
         }
         state.counters().increment(Name.PROBES_FAILED);
@@ -122,7 +123,7 @@
         Message.Envelope sender = ping.envelope();
         Optional<Member> firstUpdate =
                 believesSelfGone(sender) ? state.table().find(state.self().name()) : refutableEntryOf(sender);
-        dissemination.send(from, new Message.Ack(dissemination.newEnvelope(firstUpdate), ping.number()));
+        dissemination.send(from, new Message.Ack(dissemination.newEnvelope(firstUpdate), ping.sequenceNumber()));
     }
 
     /** Returns whether the sender has this process as suspect, failed or left. */
@@ -138,9 +139,9 @@
      */
     private Optional<Member> refutableEntryOf(Message.Envelope sender) {
         return state.table()
-                .find(sender.from())
+                .find(sender.senderName())
                 .filter(known -> known.state() != MemberState.ALIVE)
-                .filter(known -> known.identity().generation() >= sender.generation());
+                .filter(known -> known.identity().generation() >= sender.senderGeneration());
     }
 
     /** Probes a member on behalf of another process, and forwards its ack, or sends a nack if there is none in time. */
@@ -150,25 +151,26 @@
             state.counters().increment(Name.DROPPED_BUSY);
             return;
         }
-        long number = state.nextSequenceNumber();
+        long sequenceNumber = state.nextSequenceNumber();
         probes.begin(
-                number,
-                () -> dissemination.send(requester, new Message.Ack(dissemination.newEnvelope(), request.number())));
-        ping(target.get(), number);
+                sequenceNumber,
+                () -> dissemination.send(
+                        requester, new Message.Ack(dissemination.newEnvelope(), request.sequenceNumber())));
+        ping(target.get(), sequenceNumber);
         long nackDelayUs = Math.round(state.settings().probeTimeoutUs() * NACK_DELAY_SHARE);
         state.scheduler().after(nackDelayUs, () -> {
-            if (probes.isOutstanding(number)) {
-                dissemination.send(requester, new Message.Nack(dissemination.newEnvelope(), request.number()));
+            if (probes.isOutstanding(sequenceNumber)) {
+                dissemination.send(requester, new Message.Nack(dissemination.newEnvelope(), request.sequenceNumber()));
             }
         });
-        state.scheduler().after(state.settings().periodUs(), () -> probes.end(number));
+        state.scheduler().after(state.settings().periodUs(), () -> probes.end(sequenceNumber));
     }
 
     void onAck(Message.Ack ack) {
-        probes.onAck(ack.number());
+        probes.onAck(ack.sequenceNumber());
     }
 
     void onNack(Message.Nack nack) {
-        probes.onNack(nack.number(), nack.envelope().from());
+        probes.onNack(nack.sequenceNumber(), nack.envelope().senderName());
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
@@ -85,17 +85,19 @@
     /** While another process of this name and a later generation responds, this one stays out of the cluster. */
     private void pingNamesake(Identity other) {
         hasNamesake = true;
-        long number = state.nextSequenceNumber();
-        probes.begin(number, () -> {
+        long sequenceNumber = state.nextSequenceNumber();
+        probes.begin(sequenceNumber, () -> {
             state.setSuperseded();
             state.scheduler().after(CONFLICT_CHECK_INTERVAL_US, () -> pingNamesake(other));
         });
         dissemination.send(
                 other.address(),
                 new Message.Ping(
-                        dissemination.newEnvelope(), number, state.self().name()));
+                        dissemination.newEnvelope(),
+                        sequenceNumber,
+                        state.self().name()));
         state.scheduler().after(state.settings().periodUs() * CONFLICT_PING_PERIODS, () -> {
-            if (probes.end(number) && !state.isStopped()) {
+            if (probes.end(sequenceNumber) && !state.isStopped()) {
                 hasNamesake = false;
                 supersede(other);
             }
--- a/cluster/src/main/java/tansypass/cluster/membership/JoinProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/JoinProtocol.java
@@ -45,9 +45,9 @@
 
     /** Syncs with a sender that is not in the table, or is there only in an earlier generation. */
     void learnOfSender(InetSocketAddress from, Envelope sender) {
-        Optional<Identity> known = state.table().find(sender.from()).map(Member::identity);
-        boolean isUnknown = known.isEmpty() || known.get().generation() < sender.generation();
-        boolean isSelf = sender.from().equals(state.self().name());
+        Optional<Identity> known = state.table().find(sender.senderName()).map(Member::identity);
+        boolean isUnknown = known.isEmpty() || known.get().generation() < sender.senderGeneration();
+        boolean isSelf = sender.senderName().equals(state.self().name());
         if (isUnknown && !isSelf && antiEntropy.openSyncs() < MAX_OPEN_SYNCS) {
             antiEntropy.syncWith(known.map(Identity::address).orElse(from));
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/Message.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Message.java
@@ -12,42 +12,53 @@
      * What all messages have.
      *
      * @param deployment the sender's; messages of other deployments are dropped
-     * @param version of the protocol
-     * @param from the sender's name
-     * @param generation the sender's generation
+     * @param protocolVersion of the protocol
+     * @param senderName the sender's name
+     * @param senderGeneration the sender's generation
      * @param digest of the sender's view; empty if the message has none
      * @param updates the piggybacked entries
      */
-    record Envelope(String deployment, int version, String from, long generation, String digest, List<Member> updates) {
+    record Envelope(
+            String deployment,
+            int protocolVersion,
+            String senderName,
+            long senderGeneration,
+            String digest,
+            List<Member> updates) {
 
         /** Creates an envelope of a complete view, which needs no digest. */
-        public Envelope(String deployment, int version, String from, long generation, List<Member> updates) {
-            this(deployment, version, from, generation, "", updates);
+        public Envelope(
+                String deployment,
+                int protocolVersion,
+                String senderName,
+                long senderGeneration,
+                List<Member> updates) {
+            this(deployment, protocolVersion, senderName, senderGeneration, "", updates);
         }
     }
 
     /**
      * Asks for an {@link Ack}.
      *
-     * @param number comes back with the ack
+     * @param sequenceNumber comes back with the ack
      * @param target the name of the process that is meant, whichever process has the address now
      */
-    record Ping(Envelope envelope, long number, String target) implements Message {}
+    record Ping(Envelope envelope, long sequenceNumber, String target) implements Message {}
 
     /**
      * Asks to ping another process: an indirect probe (SWIM, section 3.1).
      *
-     * @param number comes back with the ack or the nack
+     * @param sequenceNumber comes back with the ack or the nack
      * @param target the name of the process to ping
      */
-    record PingRequest(Envelope envelope, long number, String target) implements Message {}
+    record PingRequest(Envelope envelope, long sequenceNumber, String target) implements Message {}
 
     /** Responds to the ping or request of this number: its target is alive. */
-    record Ack(Envelope envelope, long number) implements Message {}
+    record Ack(Envelope envelope, long sequenceNumber) implements Message {}
 
     /** Carries updates only; never sent without any. */
     record Gossip(Envelope envelope) implements Message {}
 
     /** Responds to the request of this number: this process is alive, but received no ack (Lifeguard, section IV A). */
-    record Nack(Envelope envelope, long number) implements Message {}
+    record Nack(Envelope envelope, long sequenceNumber) implements Message {}
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
@@ -21,11 +21,11 @@
         Fields fields = readFields(bytes, maxUpdates);
         Message.Envelope envelope = fields.toEnvelope();
         return switch (require(fields.kind, WireKey.KIND)) {
-            case "Ping" -> new Message.Ping(envelope, fields.number(), fields.target());
-            case "PingRequest" -> new Message.PingRequest(envelope, fields.number(), fields.target());
+            case "Ping" -> new Message.Ping(envelope, fields.sequenceNumber(), fields.target());
+            case "PingRequest" -> new Message.PingRequest(envelope, fields.sequenceNumber(), fields.target());
             case "Gossip" -> new Message.Gossip(envelope);
-            case "Ack" -> new Message.Ack(envelope, fields.number());
-            case "Nack" -> new Message.Nack(envelope, fields.number());
+            case "Ack" -> new Message.Ack(envelope, fields.sequenceNumber());
+            case "Nack" -> new Message.Nack(envelope, fields.sequenceNumber());
             default -> throw new MalformedMessageException("unknown kind");
         };
     }
@@ -113,11 +113,11 @@
     private final class Fields {
         private String kind;
         private String target;
-        private Long number;
+        private Long sequenceNumber;
         private String deployment;
-        private Long version;
-        private String from;
-        private Long generation;
+        private Long protocolVersion;
+        private String senderName;
+        private Long senderGeneration;
         private String digest = "";
         private List<Member> updates;
 
@@ -125,19 +125,19 @@
             switch (name) {
                 case WireKey.KIND -> kind = readText(value);
                 case WireKey.TARGET -> target = readText(value);
-                case WireKey.NUMBER -> number = value.getLongValue();
+                case WireKey.NUMBER -> sequenceNumber = value.getLongValue();
                 case WireKey.DEPLOYMENT -> deployment = readText(value);
-                case WireKey.PROTOCOL_VERSION -> version = value.getLongValue();
-                case WireKey.SENDER -> from = readText(value);
-                case WireKey.SENDER_GENERATION -> generation = value.getLongValue();
+                case WireKey.PROTOCOL_VERSION -> protocolVersion = value.getLongValue();
+                case WireKey.SENDER -> senderName = readText(value);
+                case WireKey.SENDER_GENERATION -> senderGeneration = value.getLongValue();
                 case WireKey.DIGEST -> digest = readText(value);
                 case WireKey.UPDATES -> updates = readUpdates(value, maxUpdates);
                 default -> value.skipChildren();
             }
         }
 
-        long number() throws MalformedMessageException {
-            return require(number, WireKey.NUMBER);
+        long sequenceNumber() throws MalformedMessageException {
+            return require(sequenceNumber, WireKey.NUMBER);
         }
 
         String target() throws MalformedMessageException {
@@ -146,12 +146,12 @@
 
         Message.Envelope toEnvelope() throws MalformedMessageException {
             // Clamped instead of truncated, so that no other version turns into a known one.
-            long anyVersion = require(version, WireKey.PROTOCOL_VERSION);
+            long anyVersion = require(protocolVersion, WireKey.PROTOCOL_VERSION);
             return new Message.Envelope(
                     require(deployment, WireKey.DEPLOYMENT),
                     (int) Math.max(0, Math.min(Integer.MAX_VALUE, anyVersion)),
-                    require(from, WireKey.SENDER),
-                    require(generation, WireKey.SENDER_GENERATION),
+                    require(senderName, WireKey.SENDER),
+                    require(senderGeneration, WireKey.SENDER_GENERATION),
                     digest,
                     require(updates, WireKey.UPDATES));
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
@@ -40,13 +40,13 @@
         return encode(out -> {
             out.writeStringField(WireKey.KIND, kindOf(message));
             if (message instanceof Message.Ping ping) {
-                writeProbe(out, ping.number(), ping.target());
+                writeProbe(out, ping.sequenceNumber(), ping.target());
             } else if (message instanceof Message.PingRequest request) {
-                writeProbe(out, request.number(), request.target());
+                writeProbe(out, request.sequenceNumber(), request.target());
             } else if (message instanceof Message.Ack ack) {
-                out.writeNumberField(WireKey.NUMBER, ack.number());
+                out.writeNumberField(WireKey.NUMBER, ack.sequenceNumber());
             } else if (message instanceof Message.Nack nack) {
-                out.writeNumberField(WireKey.NUMBER, nack.number());
+                out.writeNumberField(WireKey.NUMBER, nack.sequenceNumber());
             }
             writeEnvelope(out, message.envelope());
         });
@@ -56,8 +56,8 @@
         return message.getClass().getSimpleName();
     }
 
-    private static void writeProbe(JsonGenerator out, long number, String target) throws IOException {
-        out.writeNumberField(WireKey.NUMBER, number);
+    private static void writeProbe(JsonGenerator out, long sequenceNumber, String target) throws IOException {
+        out.writeNumberField(WireKey.NUMBER, sequenceNumber);
         out.writeStringField(WireKey.TARGET, target);
     }
 
@@ -72,9 +72,9 @@
 
     private static void writeEnvelope(JsonGenerator out, Message.Envelope envelope) throws IOException {
         out.writeStringField(WireKey.DEPLOYMENT, envelope.deployment());
-        out.writeNumberField(WireKey.PROTOCOL_VERSION, envelope.version());
-        out.writeStringField(WireKey.SENDER, envelope.from());
-        out.writeNumberField(WireKey.SENDER_GENERATION, envelope.generation());
+        out.writeNumberField(WireKey.PROTOCOL_VERSION, envelope.protocolVersion());
+        out.writeStringField(WireKey.SENDER, envelope.senderName());
+        out.writeNumberField(WireKey.SENDER_GENERATION, envelope.senderGeneration());
         if (!envelope.digest().isEmpty()) {
             out.writeStringField(WireKey.DIGEST, envelope.digest());
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/OutstandingProbes.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/OutstandingProbes.java
@@ -20,17 +20,17 @@
     }
 
     /** Adds a probe; {@code onAck} runs once if its ack comes before it is ended. */
-    void begin(long number, Runnable onAck) {
-        probes.put(number, new Probe(onAck));
+    void begin(long sequenceNumber, Runnable onAck) {
+        probes.put(sequenceNumber, new Probe(onAck));
     }
 
     /** Records that a helper was asked for an indirect probe, and has to send a nack if it receives no ack. */
-    void awaitNack(long number, String helper) {
-        probes.get(number).awaitedNacks.add(helper);
+    void awaitNack(long sequenceNumber, String helper) {
+        probes.get(sequenceNumber).awaitedNacks.add(helper);
     }
 
-    boolean isOutstanding(long number) {
-        return probes.containsKey(number);
+    boolean isOutstanding(long sequenceNumber) {
+        return probes.containsKey(sequenceNumber);
     }
 
     int size() {
@@ -38,25 +38,25 @@
     }
 
     /** Ends a probe without an ack; returns whether it was still outstanding. */
-    boolean end(long number) {
-        return probes.remove(number) != null;
+    boolean end(long sequenceNumber) {
+        return probes.remove(sequenceNumber) != null;
     }
 
     /** Returns the number of helpers that have sent no nack; 0 for a probe that has ended. */
-    int missingNacks(long number) {
-        Probe probe = probes.get(number);
+    int missingNacks(long sequenceNumber) {
+        Probe probe = probes.get(sequenceNumber);
         return probe == null ? 0 : probe.awaitedNacks.size();
     }
 
-    void onAck(long number) {
-        Probe probe = probes.remove(number);
+    void onAck(long sequenceNumber) {
+        Probe probe = probes.remove(sequenceNumber);
         if (probe != null) {
             probe.onAck.run();
         }
     }
 
-    void onNack(long number, String helper) {
-        Probe probe = probes.get(number);
+    void onNack(long sequenceNumber, String helper) {
+        Probe probe = probes.get(sequenceNumber);
         if (probe != null) {
             probe.awaitedNacks.remove(helper);
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/PeerFilter.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/PeerFilter.java
@@ -18,7 +18,7 @@
             state.counters().increment(Name.DROPPED_DEPLOYMENT);
             return false;
         }
-        if (envelope.version() < self.oldestVersion() || envelope.version() > self.newestVersion()) {
+        if (envelope.protocolVersion() < self.oldestVersion() || envelope.protocolVersion() > self.newestVersion()) {
             state.counters().increment(Name.DROPPED_VERSION);
             return false;
         }
--- a/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
@@ -175,13 +175,13 @@
         if (isStopped) {
             return;
         }
-        Member known = members.get(envelope.from());
-        if (known == null || known.identity().generation() < envelope.generation()) {
+        Member known = members.get(envelope.senderName());
+        if (known == null || known.identity().generation() < envelope.senderGeneration()) {
             pushPull(from);
         } else if (!envelope.updates().isEmpty()) {
             put(envelope.updates().get(0));
         } else {
-            lastHeartbeatUs.put(envelope.from(), scheduler.nowUs());
+            lastHeartbeatUs.put(envelope.senderName(), scheduler.nowUs());
             if (known.state() == MemberState.FAILED) {
                 put(known.withState(MemberState.ALIVE, known.incarnation(), ""));
             }
