--- a/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/AntiEntropy.java
@@ -10,23 +10,26 @@
 import tansypass.cluster.membership.Message.Envelope;
 
 /**
- * Repairs what dissemination misses, by push-pull syncs in which two processes exchange their complete views:
- * periodically with a random peer, with one whose digest differs, and with failed members and seeds, which is how a
- * healed partition is detected.
+ * Repairs differences that remain between views despite dissemination, by push-pull syncs, in which two processes
+ * exchange their complete views. A process syncs periodically with a random peer, and with a peer whose digest differs.
+ * It also syncs with failed members and with seeds, by which it detects that a partition has healed.
  */
 final class AntiEntropy {
-    /** A sync that changes more entries is followed by another: datagrams could not disseminate them all. */
+    /** The number of changes from one sync that datagrams can disseminate; a sync with more is followed by another. */
     private static final int MAX_CHANGES_FOR_GOSSIP = 10;
-    /** A view that has not changed for so many periods and differs from a peer's has missed an update. */
+    /**
+     * The number of periods without a change after which a view counts as settled. If a settled view differs from that
+     * of a peer, one of the two has missed an update.
+     */
     private static final int SETTLED_PERIODS = 2;
 
     private final ProtocolState state;
     private final Network network;
     private final MessageCodec codec;
-    private final PeerFilter filter;
+    private final PeerFilter peerFilter;
     private final List<InetSocketAddress> seeds;
     private final MemberUpdates updates;
-    private int openSyncs;
+    private int syncsInFlight;
     private boolean isFollowUpScheduled;
     private long nextDigestSyncUs;
     private long lastAgreedUs;
@@ -35,36 +38,37 @@
             ProtocolState state,
             Network network,
             MessageCodec codec,
-            PeerFilter filter,
+            PeerFilter peerFilter,
             List<InetSocketAddress> seeds,
             MemberUpdates updates) {
         this.state = state;
         this.network = network;
         this.codec = codec;
-        this.filter = filter;
+        this.peerFilter = peerFilter;
         this.seeds = List.copyOf(seeds);
         this.updates = updates;
     }
 
-    /** Sets the time of the last agreement to the start, until a peer's digest is first equal. */
+    /** Records the start as the time of the last agreement, until a peer first sends an equal digest. */
     void markStarted() {
         lastAgreedUs = state.scheduler().nowUs();
     }
 
-    /** Starts the periodic syncs. */
+    /** Starts the periodic syncs with random peers, and with failed members and seeds. */
     void start() {
-        state.scheduler().after(state.jittered(state.settings().pushPullIntervalUs()), this::syncPeriodically);
-        state.scheduler().after(state.jittered(state.settings().reconnectIntervalUs()), this::reconnectPeriodically);
+        state.scheduler().after(state.randomDelayUs(state.settings().pushPullIntervalUs()), this::syncPeriodically);
+        state.scheduler()
+                .after(state.randomDelayUs(state.settings().reconnectIntervalUs()), this::reconnectPeriodically);
     }
 
-    /** Returns when a peer's digest was last equal to that of this view; microseconds of the scheduler's clock. */
+    /** Returns the last time at which the digest of a peer was equal to that of this view, in microseconds. */
     long lastAgreedUs() {
         return lastAgreedUs;
     }
 
     /** Returns the number of syncs that this process started and that have no result yet. */
-    int openSyncs() {
-        return openSyncs;
+    int syncsInFlight() {
+        return syncsInFlight;
     }
 
     private void syncPeriodically() {
@@ -81,20 +85,23 @@
         }
     }
 
-    /** A failed member may only have been unreachable, and the seeds may be on the other side of a partition. */
+    /**
+     * Syncs with a random failed member or seed. A failed member may only have been unreachable, and the seeds may be
+     * on the other side of a partition.
+     */
     private void reconnectPeriodically() {
         if (state.isStopped()) {
             return;
         }
         state.scheduler().after(state.settings().reconnectIntervalUs(), this::reconnectPeriodically);
-        List<InetSocketAddress> unreached = unreachedAddresses();
+        List<InetSocketAddress> unreached = findUnreachedAddresses();
         if (!unreached.isEmpty() && !state.isSuperseded()) {
             syncWith(state.randomElement(unreached));
         }
     }
 
-    /** Returns the addresses of failed members, and the seeds at which no member is present. */
-    private List<InetSocketAddress> unreachedAddresses() {
+    /** Returns the addresses of failed members, and the addresses of seeds at which no member is present. */
+    private List<InetSocketAddress> findUnreachedAddresses() {
         List<InetSocketAddress> unreached = new ArrayList<>();
         Set<InetSocketAddress> present = new LinkedHashSet<>();
         for (Member member : state.table().all()) {
@@ -108,15 +115,15 @@
         return unreached;
     }
 
-    /** Starts a push-pull sync. */
+    /** Starts a push-pull sync with a peer. */
     void syncWith(InetSocketAddress peer) {
         state.counters().increment(Name.EXCHANGES);
-        openSyncs++;
-        network.pushPull(peer, encodedView(), this::onPullResult);
+        syncsInFlight++;
+        network.pushPull(peer, encodeView(), this::onPullResult);
     }
 
     private void onPullResult(Optional<byte[]> view) {
-        openSyncs--;
+        syncsInFlight--;
         if (state.isStopped()) {
             return;
         }
@@ -127,15 +134,15 @@
         }
     }
 
-    /** Merges a peer's view and returns this process's own; empty if the peer's is rejected. */
+    /** Merges the view of a peer and returns the view of this process; empty if the view of the peer is rejected. */
     Optional<byte[]> onPushPull(byte[] view) {
         if (state.isStopped() || state.isSuperseded() || !mergeView(view)) {
             return Optional.empty();
         }
-        return Optional.of(encodedView());
+        return Optional.of(encodeView());
     }
 
-    private byte[] encodedView() {
+    private byte[] encodeView() {
         return codec.encodeView(new Envelope(
                 state.self().deployment(),
                 MessageCodec.VERSION,
@@ -152,13 +159,13 @@
             state.counters().increment(Name.DROPPED_MALFORMED);
             return false;
         }
-        if (!filter.accepts(envelope)) {
+        if (!peerFilter.accepts(envelope)) {
             return false;
         }
         long versionBefore = state.table().version();
         for (Member update : envelope.updates()) {
             updates.apply(
-                    mayRefute(update, envelope.senderName())
+                    isFailureOfPresentMember(update, envelope.senderName())
                             ? update.withState(MemberState.SUSPECT, update.incarnation(), envelope.senderName())
                             : update);
         }
@@ -169,34 +176,37 @@
     }
 
     /**
-     * Returns whether a member that a peer has as failed is present here. It is only suspected then, which leaves it
-     * time to refute.
+     * Returns whether a member that has failed in the view of a peer is present in the view of this process. Such a
+     * member is only suspected, which leaves it time to refute the suspicion.
      */
-    private boolean mayRefute(Member update, String peer) {
+    private boolean isFailureOfPresentMember(Member update, String peerName) {
         Identity identity = update.identity();
-        if (update.state() != MemberState.FAILED || identity.name().equals(peer)) {
+        if (update.state() != MemberState.FAILED || identity.name().equals(peerName)) {
             return false;
         }
         return state.table().findPresent(identity).isPresent();
     }
 
     /**
-     * After a partition complete views spread as updates do: each step doubles the number of processes that have
-     * them.
+     * Schedules a further sync with a random peer. After a partition has healed, such syncs spread complete views in
+     * the way that gossip spreads updates: each step doubles the number of processes that have them.
      */
     private void scheduleFollowUp() {
         if (isFollowUpScheduled) {
             return;
         }
         isFollowUpScheduled = true;
-        long delayUs = state.jittered(2 * state.settings().gossipIntervalUs());
+        long delayUs = state.randomDelayUs(2 * state.settings().gossipIntervalUs());
         state.scheduler().after(delayUs, () -> {
             isFollowUpScheduled = false;
             syncWithRandomPeer();
         });
     }
 
-    /** Syncs with a sender whose digest still differs although this view is settled: one of them missed an update. */
+    /**
+     * Compares the digest of a sender with that of this view. If they differ although this view is settled, one of the
+     * two processes missed an update, and this process starts a sync.
+     */
     void compareDigest(Envelope sender) {
         String digest = state.table().digest();
         if (sender.digest().equals(digest)) {
@@ -208,11 +218,11 @@
 
     private void syncIfSettled(Member sender) {
         long nowUs = state.scheduler().nowUs();
-        long settledUs = SETTLED_PERIODS * state.settings().periodUs();
-        boolean isSettled = nowUs - state.table().lastPutUs() > settledUs;
-        boolean mayStart = nowUs >= nextDigestSyncUs && openSyncs == 0;
-        if (isSettled && mayStart) {
-            nextDigestSyncUs = nowUs + settledUs + state.jittered(settledUs);
+        long settleTimeUs = SETTLED_PERIODS * state.settings().periodUs();
+        boolean isSettled = nowUs - state.table().lastPutUs() > settleTimeUs;
+        boolean canSync = nowUs >= nextDigestSyncUs && syncsInFlight == 0;
+        if (isSettled && canSync) {
+            nextDigestSyncUs = nowUs + settleTimeUs + state.randomDelayUs(settleTimeUs);
             state.counters().increment(Name.VIEWS_COMPARED);
             syncWith(sender.identity().address());
         }
--- a/cluster/src/main/java/tansypass/cluster/membership/BroadcastQueue.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/BroadcastQueue.java
@@ -11,21 +11,22 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The updates that are still to be piggybacked on datagrams, those sent least often first (SWIM, section 4.1). It has
- * at most one update per name, so its size is bounded by that of the member table.
+ * The updates that are still to be piggybacked on datagrams, ordered by the number of times that each was sent, lowest
+ * first (SWIM, section 4.1). The queue has at most one update per member name, so the size of the member table limits
+ * its size.
  */
 final class BroadcastQueue {
     private final double retransmitMultiplier;
     private final ToIntFunction<Member> encodedSize;
     private final Map<String, Broadcast> byName = new HashMap<>();
-    /** By the number of transmits, and then by name in the order of insertion. */
-    private final NavigableMap<Integer, Map<String, Broadcast>> byTransmits = new TreeMap<>();
+    /** The broadcasts by transmit count, and for each count by name, in the order of insertion. */
+    private final NavigableMap<Integer, Map<String, Broadcast>> byTransmitCount = new TreeMap<>();
 
-    /** One update, and how often it has been sent. */
+    /** An update, and the number of times that it was sent. */
     private static final class Broadcast {
         private final Member update;
         private final int bytes;
-        private int transmits;
+        private int transmitCount;
 
         Broadcast(Member update, int bytes) {
             this.update = update;
@@ -40,35 +41,36 @@
     /**
      * Creates an empty queue.
      *
-     * @param retransmitMultiplier an update is sent this many times log10(n + 1) times, n members being known
-     * @param encodedSize how many bytes an update takes in a datagram
+     * @param retransmitMultiplier the number of times that each update is sent, in units of {@code log10(n + 1)}, where
+     *     n is the number of known members
+     * @param encodedSize returns the number of bytes that an update takes in a datagram
      */
     BroadcastQueue(double retransmitMultiplier, ToIntFunction<Member> encodedSize) {
         this.retransmitMultiplier = retransmitMultiplier;
         this.encodedSize = encodedSize;
     }
 
-    /** Adds an update in place of an earlier one of the same name. */
+    /** Adds an update, which replaces an earlier update about the same name. */
     void add(Member update) {
         Broadcast broadcast = new Broadcast(update, encodedSize.applyAsInt(update));
-        Broadcast before = byName.put(broadcast.name(), broadcast);
-        if (before != null) {
-            unlink(before);
+        Broadcast replaced = byName.put(broadcast.name(), broadcast);
+        if (replaced != null) {
+            unlink(replaced);
         }
         link(broadcast);
     }
 
     private void link(Broadcast broadcast) {
-        byTransmits
-                .computeIfAbsent(broadcast.transmits, transmits -> new LinkedHashMap<>())
+        byTransmitCount
+                .computeIfAbsent(broadcast.transmitCount, count -> new LinkedHashMap<>())
                 .put(broadcast.name(), broadcast);
     }
 
     private void unlink(Broadcast broadcast) {
-        Map<String, Broadcast> sentAsOften = byTransmits.get(broadcast.transmits);
-        sentAsOften.remove(broadcast.name());
-        if (sentAsOften.isEmpty()) {
-            byTransmits.remove(broadcast.transmits);
+        Map<String, Broadcast> sameTransmitCount = byTransmitCount.get(broadcast.transmitCount);
+        sameTransmitCount.remove(broadcast.name());
+        if (sameTransmitCount.isEmpty()) {
+            byTransmitCount.remove(broadcast.transmitCount);
         }
     }
 
@@ -77,39 +79,39 @@
     }
 
     /**
-     * Selects the updates for one datagram, and counts them as sent; removes those that have been sent often enough.
+     * Selects the updates for one datagram and counts them as sent. Updates that were sent often enough are removed.
      *
-     * @param maxBytes the limit on the sum of their encoded sizes
-     * @param first precedes all others, whether it is queued or not
+     * @param maxBytes the maximum sum of the encoded sizes of the updates
+     * @param first an update that precedes all others, whether it is queued or not; empty if there is none
      * @param clusterSize the number of known members
      */
-    List<Member> take(int maxBytes, Optional<Member> first, int clusterSize) {
-        List<Member> taken = new ArrayList<>();
+    List<Member> takeForDatagram(int maxBytes, Optional<Member> first, int clusterSize) {
+        List<Member> selected = new ArrayList<>();
         int bytesLeft = maxBytes;
         if (first.isPresent()) {
-            taken.add(first.get());
+            selected.add(first.get());
             bytesLeft -= encodedSize.applyAsInt(first.get());
         }
         int maxTransmits = (int) Math.ceil(retransmitMultiplier * Math.log10(clusterSize + 1.0));
         for (Broadcast broadcast : selectFitting(bytesLeft, first)) {
-            taken.add(broadcast.update);
+            selected.add(broadcast.update);
             unlink(broadcast);
-            if (++broadcast.transmits >= maxTransmits) {
+            if (++broadcast.transmitCount >= maxTransmits) {
                 byName.remove(broadcast.name());
             } else {
                 link(broadcast);
             }
         }
-        return taken;
+        return selected;
     }
 
-    /** Returns the updates sent least often, up to the first that does not fit, without the excluded one. */
-    @SuppressWarnings("ReferenceEquality") // The very update, not one that equals it.
+    /** Returns the broadcasts sent least often, without the excluded update, until one does not fit. */
+    @SuppressWarnings("ReferenceEquality") // Excludes only the identical object, not an equal update.
     private List<Broadcast> selectFitting(int maxBytes, Optional<Member> excluded) {
         List<Broadcast> fitting = new ArrayList<>();
         int bytesLeft = maxBytes;
-        for (Map<String, Broadcast> sentAsOften : byTransmits.values()) {
-            for (Broadcast broadcast : sentAsOften.values()) {
+        for (Map<String, Broadcast> sameTransmitCount : byTransmitCount.values()) {
+            for (Broadcast broadcast : sameTransmitCount.values()) {
                 if (broadcast.bytes > bytesLeft) {
                     return fitting;
                 }
--- a/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
@@ -1,46 +1,46 @@
 package tansypass.cluster.membership;
 
 /**
- * Counts the nodes of the cluster that serve clients, from views that are recent enough, and reports each change of the
- * counts. The quota that follows from them is up to the listener. Not thread-safe.
+ * Counts the nodes of the cluster that serve clients, from views that are recent enough, and notifies the listener of
+ * each change of the counts. The listener derives the quota of this node from them. Not thread-safe.
  */
 public final class ClusterSizeEstimator {
-    /** An older view is not used, microseconds. */
+    /** The maximum age of a view that is used, in microseconds. */
     public static final long MAX_VIEW_AGE_US = 5_000_000;
 
     private final Listener listener;
-    private int serving;
-    private int failed;
+    private int servingCount;
+    private int failedCount;
 
     /** Receives each change of the counts, on the thread that calls {@link #update}. */
     public interface Listener {
         /**
-         * The counts have changed.
+         * Called when the counts have changed.
          *
-         * @param serving nodes that are present and serve clients; 0 if that is not known
-         * @param failed nodes that served clients when they failed, and are not reaped
+         * @param serving the number of nodes that are present and serve clients; 0 if this is unknown
+         * @param failed the number of nodes that served clients when they failed, and are not yet reaped
          */
         void onClusterSize(int serving, int failed);
     }
 
-    /** Creates an estimator that has seen no view; the listener is called by the thread that updates it. */
+    /** Creates an estimator that has counted no view. */
     public ClusterSizeEstimator(Listener listener) {
         this.listener = listener;
     }
 
     /**
-     * Counts a view.
+     * Counts the nodes in a view, and notifies the listener if the counts have changed.
      *
-     * @param ageUs how old it is, microseconds
+     * @param ageUs the age of the view in microseconds
      */
     public void update(MembershipView view, long ageUs) {
         boolean isUsable = view.joined() && ageUs <= MAX_VIEW_AGE_US;
-        int nowServing = isUsable ? view.servingCount(Role.NODE) : 0;
-        int nowFailed = isUsable ? view.failedWhileServingCount(Role.NODE) : 0;
-        if (nowServing != serving || nowFailed != failed) {
-            serving = nowServing;
-            failed = nowFailed;
-            listener.onClusterSize(serving, failed);
+        int newServingCount = isUsable ? view.servingCount(Role.NODE) : 0;
+        int newFailedCount = isUsable ? view.failedWhileServingCount(Role.NODE) : 0;
+        if (newServingCount != servingCount || newFailedCount != failedCount) {
+            servingCount = newServingCount;
+            failedCount = newFailedCount;
+            listener.onClusterSize(servingCount, failedCount);
         }
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
@@ -5,13 +5,13 @@
 import tansypass.cluster.membership.Message.Envelope;
 
 /**
- * Disseminates updates: they are piggybacked on every datagram (SWIM, section 4.1), and while any are pending, gossip
- * rounds send them to a few random peers as well. All datagrams of the protocol are sent through it.
+ * Disseminates updates by piggybacking them on every datagram (SWIM, section 4.1). While updates are pending, gossip
+ * rounds also send them to a few random peers. All datagrams of the protocol are sent through this class.
  */
 final class Dissemination {
-    /** Bytes of a datagram that are reserved for everything but its updates. */
-    private static final int HEADER_BYTES = 300;
-    /** Number of peers that a leaving process notifies itself; the others learn of it from them. */
+    /** The number of bytes in a datagram that are reserved for all fields other than the updates. */
+    private static final int RESERVED_HEADER_BYTES = 300;
+    /** The number of peers that a leaving process notifies; the other members learn of it from these peers. */
     private static final int LEAVE_FANOUT = 8;
 
     private final ProtocolState state;
@@ -26,17 +26,17 @@
         broadcasts = new BroadcastQueue(state.settings().retransmitMultiplier(), codec::encodedSize);
     }
 
-    /** Starts the gossip rounds. */
+    /** Starts the periodic gossip rounds. */
     void start() {
-        state.scheduler().after(state.jittered(state.settings().gossipIntervalUs()), this::runGossipRound);
+        state.scheduler().after(state.randomDelayUs(state.settings().gossipIntervalUs()), this::runGossipRound);
     }
 
-    /** Queues an update, in place of an earlier one about the same member. */
+    /** Queues an update, which replaces an earlier update about the same member. */
     void broadcast(Member update) {
         broadcasts.add(update);
     }
 
-    /** Returns the number of updates that are still to be sent. */
+    /** Returns the number of updates that are still to be disseminated. */
     int pendingUpdates() {
         return broadcasts.size();
     }
@@ -71,12 +71,12 @@
         }
     }
 
-    /** Creates an envelope with the updates that fit. */
+    /** Creates an envelope with as many pending updates as fit into a datagram. */
     Envelope newEnvelope() {
         return newEnvelope(Optional.empty());
     }
 
-    /** Creates an envelope with the updates that fit, {@code firstUpdate} before all others. */
+    /** Creates an envelope with {@code firstUpdate}, if there is one, and as many pending updates as then fit. */
     Envelope newEnvelope(Optional<Member> firstUpdate) {
         return new Envelope(
                 state.self().deployment(),
@@ -84,13 +84,13 @@
                 state.self().name(),
                 state.self().generation(),
                 state.table().digest(),
-                broadcasts.take(
-                        MessageCodec.MAX_DATAGRAM_BYTES - HEADER_BYTES,
+                broadcasts.takeForDatagram(
+                        MessageCodec.MAX_DATAGRAM_BYTES - RESERVED_HEADER_BYTES,
                         firstUpdate,
                         state.table().size()));
     }
 
-    /** Sends a datagram, which may get lost; does nothing once this process has stopped. */
+    /** Sends a datagram, which may get lost; does nothing after this process has stopped. */
     void send(InetSocketAddress to, Message message) {
         if (!state.isStopped()) {
             network.send(to, codec.encode(message));
--- a/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
@@ -5,56 +5,58 @@
 import tansypass.cluster.membership.MembershipCounters.Name;
 
 /**
- * Probes one member after the other, directly and then indirectly through helpers (SWIM, section 3.1), and suspects a
- * member from which no ack was received. Timeouts are extended while this process itself seems unhealthy (Lifeguard,
- * section IV A). Also responds to the pings and indirect probes of others.
+ * Probes one member after the other, first directly and then indirectly through helpers (SWIM, section 3.1), and
+ * suspects a member from which no ack was received. Timeouts are extended while the local health of this process is
+ * poor (Lifeguard, section IV A). This class also handles the pings and ping requests of other members.
  */
 final class FailureDetector {
-    /** Probes outstanding at once; beyond it, requests for indirect probes are dropped and get not even a nack. */
+    /** The maximum number of outstanding probes. Further ping requests are dropped and do not even get a nack. */
     private static final int MAX_OUTSTANDING_PROBES = 64;
-    /** A helper sends a nack after this share of the probe timeout (Lifeguard, section IV A). */
-    private static final double NACK_DELAY_SHARE = 0.8;
+    /** The fraction of the probe timeout after which a helper sends a nack (Lifeguard, section IV A). */
+    private static final double NACK_DELAY_FRACTION = 0.8;
     /**
-     * Probe timeouts until a probe has failed: by then the helpers' own timeouts are over, and their nacks received.
+     * The number of probe timeouts after which a probe has failed. By that time the timeouts of the helpers are over
+     * and their nacks have arrived.
      */
     private static final double TIMEOUTS_UNTIL_FAILED = 2.2;
 
     private final ProtocolState state;
     private final Dissemination dissemination;
     private final OutstandingProbes probes;
-    private final ProbeOrder order;
+    private final ProbeOrder probeOrder;
     private final MemberUpdates updates;
 
     FailureDetector(
             ProtocolState state,
             Dissemination dissemination,
             OutstandingProbes probes,
-            ProbeOrder order,
+            ProbeOrder probeOrder,
             MemberUpdates updates) {
         this.state = state;
         this.dissemination = dissemination;
         this.probes = probes;
-        this.order = order;
+        this.probeOrder = probeOrder;
         this.updates = updates;
     }
 
-    /** Starts to probe. */
+    /** Starts to probe members periodically. */
     void start() {
-        state.scheduler().after(state.jittered(state.settings().periodUs()), this::probeNext);
+        state.scheduler().after(state.randomDelayUs(state.settings().periodUs()), this::probeNext);
     }
 
     private void probeNext() {
         if (state.isStopped()) {
             return;
         }
-        int peers = state.table().present().size() - 1;
-        int probesPerPeriod = Math.max(1, Math.min(state.settings().probesPerPeriod(), peers));
+        int peerCount = state.table().present().size() - 1;
+        int probesPerPeriod = Math.max(1, Math.min(state.settings().probesPerPeriod(), peerCount));
         long intervalUs = scaledByHealth(state.settings().periodUs()) / probesPerPeriod;
         state.scheduler().after(intervalUs, this::probeNext);
         if (state.isSuperseded()) {
             return;
         }
-        order.next(state::presentPeerNames, state::isPresentPeer)
+        probeOrder
+                .next(state::presentPeerNames, state::isPresentPeer)
                 .flatMap(state.table()::find)
                 .ifPresent(this::probe);
     }
@@ -75,9 +77,12 @@
         state.scheduler().after(scaledByHealth(failAfterUs), () -> failProbe(target, sequenceNumber));
     }
 
-    /** Pings a member under a sequence number that may or may not be that of an outstanding probe. */
+    /**
+     * Pings a member. The ack has an effect only if a probe with this sequence number is outstanding.
+     */
     void ping(Member target, long sequenceNumber) {
-        // A suspect is always notified of the suspicion, so that it can refute it (Lifeguard, section IV C).
+        // A ping to a suspect always carries the suspicion, which the suspect can then refute (Lifeguard, section IV
+        // C).
         Optional<Member> firstUpdate = Optional.of(target).filter(member -> member.state() == MemberState.SUSPECT);
         Identity identity = target.identity();
         dissemination.send(
@@ -105,7 +110,7 @@
             return;
         }
         state.counters().increment(Name.PROBES_FAILED);
-        // If helpers did not even send a nack, it may be this process that receives nothing.
+        // If the helpers sent no nacks either, the cause may be that this process receives no datagrams.
         state.health().degrade(Math.max(1, missingNacks));
         state.table().findPresent(target.identity()).ifPresent(this::suspect);
     }
@@ -115,36 +120,36 @@
                 MemberState.SUSPECT, member.incarnation(), state.self().name()));
     }
 
-    /** Responds to a ping, unless it is meant for another process that had this address before. */
+    /** Responds to a ping, unless its target is another process, which had this address before. */
     void onPing(InetSocketAddress from, Message.Ping ping) {
         if (!ping.target().equals(state.self().name())) {
             return;
         }
         Message.Envelope sender = ping.envelope();
         Optional<Member> firstUpdate =
-                believesSelfGone(sender) ? state.table().find(state.self().name()) : refutableEntryOf(sender);
+                reportsSelfNotAlive(sender) ? state.table().find(state.self().name()) : findNotAliveEntry(sender);
         dissemination.send(from, new Message.Ack(dissemination.newEnvelope(firstUpdate), ping.sequenceNumber()));
     }
 
-    /** Returns whether the sender has this process as suspect, failed or left. */
-    private boolean believesSelfGone(Message.Envelope sender) {
+    /** Returns whether the updates of the sender list this process as suspect, failed or left. */
+    private boolean reportsSelfNotAlive(Message.Envelope sender) {
         return sender.updates().stream()
                 .anyMatch(member ->
                         member.state() != MemberState.ALIVE && member.identity().isSameProcess(state.self()));
     }
 
     /**
-     * Returns the entry that has the sender as not alive, if there is one: since it pings, it may not know that it has
-     * to refute this.
+     * Returns the entry of the sender if its state is not alive. The sender is running, because it sent a ping, but may
+     * not know that it has to refute this state.
      */
-    private Optional<Member> refutableEntryOf(Message.Envelope sender) {
+    private Optional<Member> findNotAliveEntry(Message.Envelope sender) {
         return state.table()
                 .find(sender.senderName())
-                .filter(known -> known.state() != MemberState.ALIVE)
-                .filter(known -> known.identity().generation() >= sender.senderGeneration());
+                .filter(entry -> entry.state() != MemberState.ALIVE)
+                .filter(entry -> entry.identity().generation() >= sender.senderGeneration());
     }
 
-    /** Probes a member on behalf of another process, and forwards its ack, or sends a nack if there is none in time. */
+    /** Probes a member for another process, and sends that process an ack, or a nack if the member does not respond. */
     void onPingRequest(InetSocketAddress requester, Message.PingRequest request) {
         Optional<Member> target = state.table().find(request.target());
         if (target.isEmpty() || probes.size() >= MAX_OUTSTANDING_PROBES) {
@@ -157,7 +162,7 @@
                 () -> dissemination.send(
                         requester, new Message.Ack(dissemination.newEnvelope(), request.sequenceNumber())));
         ping(target.get(), sequenceNumber);
-        long nackDelayUs = Math.round(state.settings().probeTimeoutUs() * NACK_DELAY_SHARE);
+        long nackDelayUs = Math.round(state.settings().probeTimeoutUs() * NACK_DELAY_FRACTION);
         state.scheduler().after(nackDelayUs, () -> {
             if (probes.isOutstanding(sequenceNumber)) {
                 dissemination.send(requester, new Message.Nack(dissemination.newEnvelope(), request.sequenceNumber()));
--- a/cluster/src/main/java/tansypass/cluster/membership/Identity.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Identity.java
@@ -3,19 +3,19 @@
 import java.net.InetSocketAddress;
 
 /**
- * The identity of a process. A restart is a new generation of the same name; the nonce tells two processes apart that
- * were given one name and came to the same generation.
+ * The identity of a process. A restarted process has the same name and a later generation. The nonce distinguishes two
+ * processes that were configured with the same name and have the same generation.
  *
- * @param name unique in the cluster, and the same over restarts
- * @param generation grows with each start: Unix time in milliseconds, or one more than the highest generation of this
- *     name that the process has learned of
- * @param nonce random, drawn at the start
- * @param zone the failure domain that it runs in
- * @param role its function in the cluster
- * @param address where it receives datagrams and push-pull syncs
- * @param deployment the cluster that it belongs to; messages of other deployments are dropped
- * @param oldestVersion the oldest version of the protocol that it understands
- * @param newestVersion the newest version of the protocol that it understands
+ * @param name the name of the process, which is unique in the cluster and does not change on a restart
+ * @param generation a number that grows with each start: the Unix time in milliseconds, or one more than the highest
+ *     generation of this name that the process has learned of
+ * @param nonce a random number, drawn at the start of the process
+ * @param zone the failure domain in which the process runs
+ * @param role the function of the process in the cluster
+ * @param address the address at which the process receives datagrams and push-pull syncs
+ * @param deployment the name of the cluster to which the process belongs; messages of other deployments are dropped
+ * @param oldestVersion the oldest protocol version that the process understands
+ * @param newestVersion the newest protocol version that the process understands
  */
 public record Identity(
         String name,
@@ -28,24 +28,25 @@
         int oldestVersion,
         int newestVersion) {
 
-    /** Whether this is a later generation than the other, or wins the tie of two with the same one by its nonce. */
+    /** Returns whether this identity has the later generation; if both are equal, whether it has the higher nonce. */
     boolean supersedes(Identity other) {
         return generation != other.generation
                 ? generation > other.generation
                 : Long.compareUnsigned(nonce, other.nonce) > 0;
     }
 
-    /** Whether both are one run of one process. */
+    /** Returns whether both identities belong to the same run of the same process. */
     boolean isSameProcess(Identity other) {
         return name.equals(other.name) && generation == other.generation && nonce == other.nonce;
     }
 
-    /** The same process under a later generation. */
-    Identity withGeneration(long later) {
-        return new Identity(name, later, nonce, zone, role, address, deployment, oldestVersion, newestVersion);
+    /** Returns the identity of the same process with a later generation. */
+    Identity withGeneration(long laterGeneration) {
+        return new Identity(
+                name, laterGeneration, nonce, zone, role, address, deployment, oldestVersion, newestVersion);
     }
 
-    /** Whether the two understand a version of the protocol in common. */
+    /** Returns whether there is a protocol version that both processes understand. */
     boolean isCompatibleWith(Identity other) {
         return oldestVersion <= other.newestVersion && other.oldestVersion <= newestVersion;
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
@@ -3,21 +3,22 @@
 import tansypass.cluster.membership.MembershipCounters.Name;
 
 /**
- * Handles updates of others about this process: refutes suspicion under a higher incarnation (SWIM, section 4.2), and
- * resolves a conflict with another process of the same name. Only this process raises its own incarnation.
+ * Handles updates from peers about the name of this process. It refutes a suspicion by announcing this process under a
+ * higher incarnation (SWIM, section 4.2), and it resolves conflicts with another process of the same name. Only this
+ * process raises its own incarnation.
  */
 final class IncarnationGuard {
-    /** How often a superseded process checks whether its namesake still responds. */
+    /** The interval at which a superseded process checks whether the other process of its name still responds. */
     private static final long CONFLICT_CHECK_INTERVAL_US = 30_000_000;
-    /** How long the namesake has to respond, in periods. */
+    /** The time that the other process of the same name has to respond, in protocol periods. */
     private static final int CONFLICT_PING_PERIODS = 2;
 
     private final ProtocolState state;
     private final Dissemination dissemination;
     private final OutstandingProbes probes;
     private final MemberUpdates updates;
-    /** Whether a later generation of this name at another address, the namesake, responds or may respond. */
-    private boolean hasNamesake;
+    /** Whether a later generation of this name at another address is being pinged or has responded. */
+    private boolean hasNameConflict;
 
     IncarnationGuard(
             ProtocolState state, Dissemination dissemination, OutstandingProbes probes, MemberUpdates updates) {
@@ -27,12 +28,12 @@
         this.updates = updates;
     }
 
-    /** Enters this process into its own table as alive, and broadcasts it. */
+    /** Puts this process into its own member table as alive, and broadcasts the entry. */
     void announce() {
         updates.adopt(state.selfAs(MemberState.ALIVE));
     }
 
-    /** Announces under a new incarnation whether this process serves clients, and gossips it at once. */
+    /** Announces whether this process serves clients, under a new incarnation, and starts a gossip round at once. */
     void setServing(boolean serving) {
         if (state.isStopped() || state.isDraining() != serving) {
             return;
@@ -43,52 +44,55 @@
         dissemination.gossipNow();
     }
 
-    /** Handles an update about this process's own name. */
+    /** Handles an update about the name of this process. */
     void onUpdate(Member update) {
         Identity subject = update.identity();
         if (subject.isSameProcess(state.self())) {
-            defend(update);
-        } else if (subject.supersedes(state.self()) && !hasNamesake) {
+            refute(update);
+        } else if (subject.supersedes(state.self()) && !hasNameConflict) {
             state.counters().increment(Name.NAME_CONFLICTS);
             boolean isEarlierRun =
                     !update.isPresent() || subject.address().equals(state.self().address());
             if (isEarlierRun) {
-                // An earlier run has a later generation if the clock was stepped back between the two.
+                // An earlier run of this process has a later generation if the clock was set back before the restart.
                 supersede(subject);
             } else {
-                pingNamesake(subject);
+                pingConflictingProcess(subject);
             }
         }
     }
 
-    private void defend(Member update) {
+    private void refute(Member update) {
         if (update.state() != MemberState.ALIVE && update.incarnation() >= state.incarnation()) {
             state.counters().increment(Name.REFUTED);
             state.health().degrade(1);
             state.setIncarnation(update.incarnation() + 1);
             announce();
-            // At once: a process that gets little CPU time may be declared failed before its next gossip round.
+            // Gossips at once: a process that gets little CPU time may be declared failed before its next gossip round.
             dissemination.gossipNow();
         } else if (update.incarnation() > state.incarnation()) {
-            // Only this process raises its incarnation, so the update is forged; it has to be overridden all the same.
+            // Only this process raises its incarnation, so the update is forged. It still has to be overridden.
             state.setIncarnation(update.incarnation() + 1);
             announce();
         }
     }
 
-    /** Takes the name back from an identity that no longer responds, under a later generation. */
-    private void supersede(Identity earlier) {
-        state.startGeneration(earlier.generation() + 1);
+    /** Takes over the name from an identity that no longer responds, by starting a later generation. */
+    private void supersede(Identity other) {
+        state.startGeneration(other.generation() + 1);
         announce();
     }
 
-    /** While another process of this name and a later generation responds, this one stays out of the cluster. */
-    private void pingNamesake(Identity other) {
-        hasNamesake = true;
+    /**
+     * Pings another process that has the name of this one and a later generation. While it responds, this process stays
+     * out of the cluster and repeats the ping; otherwise this process supersedes it.
+     */
+    private void pingConflictingProcess(Identity other) {
+        hasNameConflict = true;
         long sequenceNumber = state.nextSequenceNumber();
         probes.begin(sequenceNumber, () -> {
             state.setSuperseded();
-            state.scheduler().after(CONFLICT_CHECK_INTERVAL_US, () -> pingNamesake(other));
+            state.scheduler().after(CONFLICT_CHECK_INTERVAL_US, () -> pingConflictingProcess(other));
         });
         dissemination.send(
                 other.address(),
@@ -98,7 +102,7 @@
                         state.self().name()));
         state.scheduler().after(state.settings().periodUs() * CONFLICT_PING_PERIODS, () -> {
             if (probes.end(sequenceNumber) && !state.isStopped()) {
-                hasNamesake = false;
+                hasNameConflict = false;
                 supersede(other);
             }
         });
--- a/cluster/src/main/java/tansypass/cluster/membership/LocalHealth.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/LocalHealth.java
@@ -1,20 +1,20 @@
 package tansypass.cluster.membership;
 
 /**
- * The health of this process as it observes it itself: the more signs there are that it misses messages or handles them
- * late, the longer it waits before it suspects others (Lifeguard, section IV A, local health multiplier).
+ * The local health multiplier of this process (Lifeguard, section IV A). The more evidence there is that this process
+ * misses messages or handles them late, the longer it waits before it suspects other members.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
 
     private int score;
 
-    /** Records a failure that this process itself may have caused; {@code points} say how serious it is. */
+    /** Records a failure that this process itself may have caused, with its severity in points. */
     void degrade(int points) {
         score = Math.min(MAX_SCORE, score + points);
     }
 
-    /** Records a success. */
+    /** Records a probe that got an ack. */
     void improve() {
         score = Math.max(0, score - 1);
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/Member.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Member.java
@@ -1,45 +1,46 @@
 package tansypass.cluster.membership;
 
 /**
- * One entry of a view, and one update as it is disseminated: the state of a process as another one sees it.
+ * The state of a process as another process sees it: an entry of a view, or an update that is disseminated.
  *
- * @param identity whose state this is
- * @param state as last observed
- * @param incarnation of the identity's generation; only the process itself raises it (SWIM, section 4.2)
- * @param suspectedBy the name of the process that suspects it, if {@code state} is SUSPECT; otherwise empty
- * @param isDraining whether it has announced that it serves no clients now
+ * @param identity the identity of the process
+ * @param state the last known state of the process
+ * @param incarnation the incarnation number within the generation; only the process itself raises it (SWIM, section
+ *     4.2)
+ * @param suspectedBy the name of the process that raised the suspicion if {@code state} is SUSPECT; otherwise empty
+ * @param isDraining whether the process has announced that it does not serve clients now
  */
 public record Member(Identity identity, MemberState state, long incarnation, String suspectedBy, boolean isDraining) {
 
-    /** An entry of a process that serves clients. */
+    /** Creates an entry of a process that serves clients. */
     public Member(Identity identity, MemberState state, long incarnation, String suspectedBy) {
         this(identity, state, incarnation, suspectedBy, false);
     }
 
-    /** The same process in another state. */
+    /** Returns the entry of the same process in another state. */
     public Member withState(MemberState newState, long newIncarnation, String newSuspectedBy) {
         return new Member(identity, newState, newIncarnation, newSuspectedBy, isDraining);
     }
 
-    /** Returns whether it counts as present: a suspect still does (Lifeguard, section III). */
+    /** Returns whether the process counts as present. A suspect still does (Lifeguard, section III). */
     public boolean isPresent() {
         return state == MemberState.ALIVE || state == MemberState.SUSPECT;
     }
 
-    /** Returns whether this update replaces a known entry of the same name (precedence as in SWIM, section 4.2). */
-    boolean overrides(Member known) {
-        if (!identity.isSameProcess(known.identity)) {
-            return identity.supersedes(known.identity);
+    /** Returns whether this update replaces the current entry of the same name (precedence as in SWIM, section 4.2). */
+    boolean overrides(Member current) {
+        if (!identity.isSameProcess(current.identity)) {
+            return identity.supersedes(current.identity);
         }
-        if (known.state == MemberState.LEFT || state == MemberState.LEFT) {
-            return known.state != MemberState.LEFT;
+        if (current.state == MemberState.LEFT || state == MemberState.LEFT) {
+            return current.state != MemberState.LEFT;
         }
-        boolean isLater = incarnation > known.incarnation;
-        boolean isNotEarlier = incarnation >= known.incarnation;
+        boolean isLater = incarnation > current.incarnation;
+        boolean isNotEarlier = incarnation >= current.incarnation;
         return switch (state) {
             case ALIVE -> isLater;
-            case SUSPECT -> known.state == MemberState.ALIVE ? isNotEarlier : isLater;
-            default -> known.state == MemberState.FAILED ? isLater : isNotEarlier;
+            case SUSPECT -> current.state == MemberState.ALIVE ? isNotEarlier : isLater;
+            default -> current.state == MemberState.FAILED ? isLater : isNotEarlier;
         };
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberFields.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberFields.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** The fields of one member as they were read from a message; null where none was. */
+/** The fields of one member as read from a message. A required field that the message does not contain is null. */
 final class MemberFields {
     private static final int MAX_PORT = 65_535;
     private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
@@ -24,7 +24,11 @@
     String suspectedBy = "";
     boolean isDraining;
 
-    /** Returns the member; throws an exception if a field is missing or out of range. */
+    /**
+     * Returns the member that these fields describe.
+     *
+     * @throws MalformedMessageException if a field is missing or has a value that is not allowed
+     */
     Member toMember() throws IOException, MalformedMessageException {
         Identity identity = new Identity(
                 MessageDecoder.require(name, WireKey.NAME),
@@ -37,7 +41,7 @@
                 MessageDecoder.require(oldestVersion, WireKey.OLDEST_VERSION).intValue(),
                 MessageDecoder.require(newestVersion, WireKey.NEWEST_VERSION).intValue());
         long checkedIncarnation = MessageDecoder.require(incarnation, WireKey.INCARNATION);
-        MessageDecoder.check(checkedIncarnation >= 0, "negative incarnation");
+        MessageDecoder.check(checkedIncarnation >= 0, "incarnation is negative");
         MemberState parsedState = parseConstant(MemberState.values(), state, WireKey.STATE);
         return new Member(identity, parsedState, checkedIncarnation, suspectedBy, isDraining);
     }
@@ -50,15 +54,18 @@
                 return constant;
             }
         }
-        throw new MalformedMessageException(key + " is unknown");
+        throw new MalformedMessageException(key + " has an unknown value");
     }
 
-    /** Accepts numeric addresses only: resolving a name would block, and query a DNS server that a peer chose. */
+    /**
+     * Parses an address. Only numeric addresses are accepted: resolving a host name would block the thread, and would
+     * query a DNS server that a peer chose.
+     */
     private static InetSocketAddress parseNumericAddress(String text) throws IOException, MalformedMessageException {
-        MessageDecoder.check(ADDRESS.matcher(text).matches(), "not an address");
+        MessageDecoder.check(ADDRESS.matcher(text).matches(), "address is not a numeric address and port");
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
-        MessageDecoder.check(port > 0 && port <= MAX_PORT, "port out of range");
+        MessageDecoder.check(port > 0 && port <= MAX_PORT, "port of the address is out of range");
         return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberListener.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberListener.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** Receives each change of a process's view, on the thread of its protocol. */
+/** Receives each change of the view of a process, on the thread of the membership protocol. */
 public interface MemberListener {
 
     /**
-     * An entry was added or replaced.
+     * Called when an entry was added or replaced.
      *
-     * @param before the entry that it replaces; empty for a new member
-     * @param after the entry as it is now
+     * @param before the replaced entry; empty if the member is new
+     * @param after the entry that is now in the view
      */
     void onUpdate(Optional<Member> before, Member after);
 
-    /** The entry of a member that failed or left long ago was removed. */
+    /** Called when the entry of a member that failed or left long ago was removed. */
     void onReap(Member reaped);
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberState.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberState.java
@@ -1,13 +1,13 @@
 package tansypass.cluster.membership;
 
-/** The state of a member in a view. The names go over the wire and into logs. */
+/** The state of a member in a view. The names of the constants are part of the wire format and of log lines. */
 public enum MemberState {
-    /** It responds to probes, or has refuted a suspicion. */
+    /** The member responds to probes, or has refuted a suspicion. */
     ALIVE,
-    /** It did not respond to a probe and has some time left to refute the suspicion (SWIM, section 4.2). */
+    /** The member did not respond to a probe, and can refute the suspicion until a timeout (SWIM, section 4.2). */
     SUSPECT,
-    /** It did not refute the suspicion in time. */
+    /** The member did not refute the suspicion before the timeout. */
     FAILED,
-    /** It has announced that it leaves; final for its generation. */
+    /** The member has announced that it leaves. This state is final for the generation of the member. */
     LEFT
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberTable.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberTable.java
@@ -10,16 +10,16 @@
 import java.util.TreeMap;
 import tansypass.cluster.runtime.RandomStreams;
 
-/** The latest known entry of each name, this process's own included, up to a fixed number of names. */
+/** The current entry of each known member, including this process, by name. The number of entries is limited. */
 final class MemberTable {
     private final SortedMap<String, Member> members = new TreeMap<>();
     private final Map<String, Long> changedAtUs = new HashMap<>();
     private final int maxMembers;
     private long version;
     private long lastPutUs;
-    /** The exclusive or of a hash of each present member, so that their order does not matter. */
+    /** The XOR of the hashes of all present members, which does not depend on their order. */
     private long presentHash;
-    /** The present members; recomputed on request if it is outdated. */
+    /** The cached present members; {@link #present} computes them again if {@code isPresentOutdated}. */
     private List<Member> present = List.of();
 
     private boolean isPresentOutdated;
@@ -28,30 +28,32 @@
         this.maxMembers = maxMembers;
     }
 
-    /** The entry of a name; empty if the name is unknown. */
+    /** Returns the entry of a name; empty if the name is unknown. */
     Optional<Member> find(String name) {
         return Optional.ofNullable(members.get(name));
     }
 
-    /** The entry of a process, if it counts as present. */
+    /** Returns the entry of a process if the process counts as present; otherwise empty. */
     Optional<Member> findPresent(Identity process) {
         return find(process.name())
                 .filter(Member::isPresent)
                 .filter(member -> member.identity().isSameProcess(process));
     }
 
-    /** Whether this very entry is in the table: it has not been replaced since, not even by an equal one. */
+    /**
+     * Returns whether this entry object is still in the table: it has not been replaced, not even by an equal entry.
+     */
     @SuppressWarnings("ReferenceEquality")
     boolean isCurrent(Member entry) {
         return members.get(entry.identity().name()) == entry;
     }
 
-    /** A copy of all entries, by name. */
+    /** Returns a copy of all entries, in the order of their names. */
     Collection<Member> all() {
         return List.copyOf(members.values());
     }
 
-    /** The entries of all present members, by name. */
+    /** Returns the entries of all present members, in the order of their names. */
     List<Member> present() {
         if (isPresentOutdated) {
             isPresentOutdated = false;
@@ -60,25 +62,25 @@
         return present;
     }
 
-    /** Whether there is no capacity for a further name: their number is bounded. */
+    /** Returns whether the table has the maximum number of entries. */
     boolean isFull() {
         return members.size() >= maxMembers;
     }
 
-    /** Puts an entry in place of an earlier one of the same name. */
+    /** Puts an entry into the table, which replaces an earlier entry of the same name. */
     void put(Member member, long nowUs) {
         String name = member.identity().name();
         changedAtUs.put(name, nowUs);
         lastPutUs = nowUs;
-        presentHash ^= hashOf(name);
+        presentHash ^= presentHashOf(name);
         members.put(name, member);
-        presentHash ^= hashOf(name);
+        presentHash ^= presentHashOf(name);
         onChanged();
     }
 
     void remove(String name) {
         changedAtUs.remove(name);
-        presentHash ^= hashOf(name);
+        presentHash ^= presentHashOf(name);
         members.remove(name);
         onChanged();
     }
@@ -88,12 +90,14 @@
         isPresentOutdated = true;
     }
 
-    /** When each entry last changed, by name; microseconds of the clock that {@link #put} is given. */
+    /**
+     * Returns the time of the last change of each entry, by name, in microseconds of the clock used for {@link #put}.
+     */
     Map<String, Long> changedAtUs() {
         return Map.copyOf(changedAtUs);
     }
 
-    /** When an entry was last put; 0 before the first. */
+    /** Returns the time of the last call of {@link #put}, in microseconds; 0 before the first call. */
     long lastPutUs() {
         return lastPutUs;
     }
@@ -102,18 +106,18 @@
         return members.size();
     }
 
-    /** Grows with each change of this table; not comparable with that of another process. */
+    /** Returns a number that grows with each change of this table. It is not comparable between processes. */
     long version() {
         return version;
     }
 
-    /** Equal for two tables with the same processes present, in whatever order they learned of them. */
+    /** Returns a hash that is equal for tables with the same processes present, in whatever order these were added. */
     String digest() {
         return HexFormat.of().toHexDigits(presentHash);
     }
 
-    /** The hash of a present member; 0 for any other. */
-    private long hashOf(String name) {
+    /** Returns the hash of the member of a name if it is present; otherwise 0. */
+    private long presentHashOf(String name) {
         return find(name).filter(Member::isPresent).map(MemberTable::hash).orElse(0L);
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberTableUpdater.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberTableUpdater.java
@@ -7,15 +7,15 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * Decides which updates enter the member table, and is the only one to change it. With each change it broadcasts the
- * entry, starts and cancels the timers that its state requires, and notifies the listener.
+ * Decides which updates are put into the member table, and is the only class that changes it. On each change of an
+ * entry, it broadcasts the entry, starts and cancels the timers that the new state requires, and notifies the listener.
  */
 final class MemberTableUpdater implements MemberUpdates {
     private final ProtocolState state;
     private final Dissemination dissemination;
     private final ProbeOrder probeOrder;
-    private final SuspicionTracker suspicions;
-    private final IncarnationGuard incarnations;
+    private final SuspicionTracker suspicionTracker;
+    private final IncarnationGuard incarnationGuard;
     private final MemberListener listener;
     private final Map<String, Scheduler.Timer> reapTimers = new HashMap<>();
 
@@ -23,14 +23,14 @@
             ProtocolState state,
             Dissemination dissemination,
             ProbeOrder probeOrder,
-            SuspicionTracker suspicions,
-            IncarnationGuard incarnations,
+            SuspicionTracker suspicionTracker,
+            IncarnationGuard incarnationGuard,
             MemberListener listener) {
         this.state = state;
         this.dissemination = dissemination;
         this.probeOrder = probeOrder;
-        this.suspicions = suspicions;
-        this.incarnations = incarnations;
+        this.suspicionTracker = suspicionTracker;
+        this.incarnationGuard = incarnationGuard;
         this.listener = listener;
     }
 
@@ -38,21 +38,21 @@
     public void apply(Member update) {
         String name = update.identity().name();
         if (name.equals(state.self().name())) {
-            incarnations.onUpdate(update);
+            incarnationGuard.onUpdate(update);
             return;
         }
-        Optional<Member> known = state.table().find(name);
-        if (known.isEmpty()) {
+        Optional<Member> current = state.table().find(name);
+        if (current.isEmpty()) {
             applyToUnknown(update);
-        } else if (isSameSuspicion(update, known.get())) {
+        } else if (isSameSuspicion(update, current.get())) {
             confirmSuspicion(update);
-        } else if (update.overrides(known.get())) {
+        } else if (update.overrides(current.get())) {
             adoptIfCompatible(update);
         }
     }
 
     private void confirmSuspicion(Member update) {
-        if (suspicions.confirm(update.identity().name(), update.suspectedBy())) {
+        if (suspicionTracker.confirm(update.identity().name(), update.suspectedBy())) {
             dissemination.broadcast(update);
         }
     }
@@ -63,7 +63,7 @@
         } else if (state.table().isFull()) {
             state.counters().increment(Name.DROPPED_FULL);
         } else if (update.isPresent()) {
-            // A failure or leave of a member that was never known here needs no entry.
+            // If a member that is not in the table failed or left, it needs no entry.
             adopt(update);
         }
     }
@@ -80,11 +80,11 @@
         return state.self().isCompatibleWith(update.identity());
     }
 
-    private static boolean isSameSuspicion(Member update, Member known) {
+    private static boolean isSameSuspicion(Member update, Member current) {
         return update.state() == MemberState.SUSPECT
-                && known.state() == MemberState.SUSPECT
-                && update.incarnation() == known.incarnation()
-                && update.identity().isSameProcess(known.identity());
+                && current.state() == MemberState.SUSPECT
+                && update.incarnation() == current.incarnation()
+                && update.identity().isSameProcess(current.identity());
     }
 
     @Override
@@ -93,10 +93,10 @@
         Optional<Member> before = state.table().find(name);
         state.table().put(member, state.scheduler().nowUs());
         dissemination.broadcast(member);
-        suspicions.cancel(name);
+        suspicionTracker.cancel(name);
         cancelReap(name);
         switch (member.state()) {
-            case SUSPECT -> suspicions.start(member);
+            case SUSPECT -> suspicionTracker.start(member);
             case FAILED, LEFT -> scheduleReap(name);
             default -> {
                 boolean wasPresent = before.isPresent() && before.get().isPresent();
@@ -120,7 +120,10 @@
         reapTimers.put(name, state.scheduler().after(delayUs, () -> reap(name)));
     }
 
-    /** Removes a member that failed or left long ago; until then its entry rejects outdated updates about it. */
+    /**
+     * Removes a member that failed or left long ago. Until then, its entry prevents outdated updates from adding it
+     * again.
+     */
     private void reap(String name) {
         reapTimers.remove(name);
         Optional<Member> reaped = state.table().find(name).filter(member -> !member.isPresent());
--- a/cluster/src/main/java/tansypass/cluster/membership/MemberUpdates.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MemberUpdates.java
@@ -1,11 +1,13 @@
 package tansypass.cluster.membership;
 
-/** Receives what the parts of the protocol learn or decide about members. */
+/** Receives the updates about members that the parts of the protocol receive from peers or decide on themselves. */
 interface MemberUpdates {
 
-    /** Compares an update from a peer with the member table and adopts it if it overrides the known entry. */
+    /**
+     * Compares an update from a peer with the member table, and adopts the update if it overrides the current entry.
+     */
     void apply(Member update);
 
-    /** Adopts an entry that this process decided on itself: updates the table, broadcasts it and adjusts timers. */
+    /** Puts an entry into the member table without a comparison, broadcasts the entry, and adjusts its timers. */
     void adopt(Member member);
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/Membership.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Membership.java
@@ -4,40 +4,40 @@
 import java.util.Optional;
 
 /**
- * A membership protocol as one process runs it; the program's is {@link SwimProtocol}. Single-threaded: all calls come
- * from one event loop, and none of them blocks.
+ * The membership protocol of one process. A node runs {@link SwimProtocol}. Single-threaded: all calls come from one
+ * event loop, and no call blocks.
  */
 public interface Membership {
 
-    /** Starts to take part. */
+    /** Starts the protocol: the process joins the cluster. */
     void start();
 
-    /** Announces that this process leaves, and stops. */
+    /** Announces that this process leaves the cluster, and stops the protocol. */
     void leave();
 
-    /** Stops without notice; nothing is sent from then on. */
+    /** Stops the protocol without notice to peers; nothing is sent from then on. */
     void stop();
 
-    /** This process's present identity. */
+    /** Returns the current identity of this process. */
     Identity self();
 
-    /** A snapshot of the cluster as this process sees it. */
+    /** Returns a snapshot of the cluster as this process sees it. */
     MembershipView view();
 
-    /** The live counters of this process. */
+    /** Returns the counters of this process, which continue to change. */
     MembershipCounters counters();
 
     /**
-     * Handles a datagram, whatever its bytes are.
+     * Handles a datagram. The bytes may be arbitrary.
      *
-     * @param from the address to which a response is sent
+     * @param from the address of the sender, to which a response is sent
      */
     void onDatagram(InetSocketAddress from, byte[] datagram);
 
     /**
-     * Handles a push-pull sync that a peer began, by merging its encoded view.
+     * Handles a push-pull sync that a peer started, by merging the encoded view of the peer.
      *
-     * @return this process's own encoded view; empty if the peer's is rejected
+     * @return the encoded view of this process; empty if the view of the peer is rejected
      */
     Optional<byte[]> onPushPull(byte[] view);
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MembershipCounters.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MembershipCounters.java
@@ -5,63 +5,63 @@
 import java.util.TreeMap;
 
 /**
- * Counts the events of a process's membership: a fixed set, whatever peers send. Not thread-safe; confined to the
- * protocol's thread.
+ * Counts the membership events of one process. The set of counters is fixed, so peers cannot add any. Not thread-safe;
+ * confined to the thread of the protocol.
  */
 public final class MembershipCounters {
 
-    /** What is counted. The names, in lower case, are label values of a metric, so they stay as they are. */
+    /** The counted events. The names, in lower case, are label values of a metric, so they must not change. */
     public enum Name {
-        /** Probes begun. */
+        /** Probes that this process started. */
         PROBES,
-        /** Probes without an ack in time. */
+        /** Probes for which no ack arrived in time. */
         PROBES_FAILED,
-        /** Indirect probes requested of others. */
+        /** Indirect probes that this process requested from helpers. */
         HELP_ASKED,
-        /** Suspicions of this process that it refuted. */
+        /** Suspicions of this process that this process refuted. */
         REFUTED,
-        /** Suspicions of others adopted. */
+        /** Suspicions of other members that this process raised itself or adopted from a peer. */
         SUSPECTED,
         /** Suspects that this process declared failed. */
         FAILED,
-        /** Push-pull syncs begun. */
+        /** Push-pull syncs that this process started. */
         EXCHANGES,
-        /** Push-pull syncs without a usable answer. */
+        /** Push-pull syncs that got no response, or one that was rejected. */
         EXCHANGES_FAILED,
         /** Messages that could not be decoded. */
         DROPPED_MALFORMED,
-        /** Messages of another deployment. */
+        /** Messages of other deployments. */
         DROPPED_DEPLOYMENT,
-        /** Messages and members of a protocol version that is not understood. */
+        /** Messages, and updates about members, of protocol versions that this process does not understand. */
         DROPPED_VERSION,
         /** Updates about new members while the table was full. */
         DROPPED_FULL,
-        /** Indirect probes that were not made for another process. */
+        /** Ping requests dropped because their target is unknown or too many probes are outstanding. */
         DROPPED_BUSY,
-        /** Updates that another process has this one's name. */
+        /** Updates about a later generation of this process's own name: of another process, or of an earlier run. */
         NAME_CONFLICTS,
-        /** Push-pull syncs begun because a peer's digest differed. */
+        /** Push-pull syncs that this process started because the digest of a peer differed. */
         VIEWS_COMPARED
     }
 
     private final long[] counts = new long[Name.values().length];
 
-    /** Adds one. */
+    /** Increments a counter by one. */
     public void increment(Name name) {
         counts[name.ordinal()]++;
     }
 
-    /** The present count. */
+    /** Returns the current value of a counter. */
     public long get(Name name) {
         return counts[name.ordinal()];
     }
 
-    /** A copy of all counts, by name in lower case. */
+    /** Returns a copy of the values of all counters, by name in lower case. */
     public Map<String, Long> all() {
-        Map<String, Long> all = new TreeMap<>();
+        Map<String, Long> valuesByName = new TreeMap<>();
         for (Name name : Name.values()) {
-            all.put(name.name().toLowerCase(Locale.ROOT), get(name));
+            valuesByName.put(name.name().toLowerCase(Locale.ROOT), get(name));
         }
-        return all;
+        return valuesByName;
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MembershipEnvironment.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MembershipEnvironment.java
@@ -6,15 +6,16 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * What is injected into a membership protocol.
+ * The dependencies that are injected into a membership protocol.
  *
- * @param settings the protocol's periods, timeouts and limits
- * @param self the identity of its process
- * @param seeds addresses to join through; the process's own may be among those given, and is left out
- * @param scheduler clock and timers; its thread makes all calls of the protocol
- * @param random for jitter and the choice of peers
- * @param network sends datagrams and push-pull syncs; delivers its results on the scheduler's thread
- * @param listener called on the scheduler's thread with each change of the view
+ * @param settings the periods, timeouts and limits of the protocol
+ * @param self the identity of the process that runs the protocol
+ * @param seeds the addresses through which the process joins the cluster; the constructor removes the address of the
+ *     process itself
+ * @param scheduler the clock and timers; all calls of the protocol come from its thread
+ * @param random the random numbers for jitter and for the choice of peers
+ * @param network sends datagrams and push-pull syncs, and delivers the results of syncs on the thread of the scheduler
+ * @param listener receives each change of the view, on the thread of the scheduler
  */
 public record MembershipEnvironment(
         MembershipSettings settings,
@@ -25,7 +26,7 @@
         Network network,
         MemberListener listener) {
 
-    /** Creates an environment. */
+    /** Creates an environment, without the address of the process itself among the seeds. */
     public MembershipEnvironment {
         InetSocketAddress ownAddress = self.address();
         seeds = seeds.stream().filter(seed -> !seed.equals(ownAddress)).toList();
--- a/cluster/src/main/java/tansypass/cluster/membership/MembershipSettings.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MembershipSettings.java
@@ -3,22 +3,26 @@
 /**
  * The parameters of the membership protocol, the same for all processes of a cluster. Times are microseconds.
  *
- * @param periodUs the protocol's period (SWIM, section 4)
- * @param probesPerPeriod members probed in each period, one after the other: SWIM has one, and it then takes a second
- *     and more until anybody probes a process that died
- * @param probeTimeoutUs until a member that sent no ack is probed indirectly
- * @param indirectProbes how many helpers are asked to probe (SWIM's k)
- * @param gossipIntervalUs how often pending updates are sent besides those that probes carry: under loss a suspicion
- *     has to reach the suspect, and the refutation the others, before the suspicion ends
- * @param gossipFanout how many peers a gossip round goes to
- * @param suspicionMultiplier a suspect has at least this many times log10(n) periods to refute, n being 50 at least
- *     (Lifeguard's alpha)
- * @param maxSuspicionMultiplier times that minimum, while nobody else confirms the suspicion (Lifeguard's beta)
- * @param retransmitMultiplier each update is sent this many times log10(n + 1) times (SWIM's lambda)
- * @param pushPullIntervalUs between push-pull syncs with a random peer
- * @param reconnectIntervalUs between push-pull syncs with a failed member or an absent seed
- * @param reapDelayUs until a member that failed or left is removed from the view
- * @param maxMembers entries in a view; updates about further members are dropped
+ * @param periodUs the length of the protocol period (SWIM, section 4)
+ * @param probesPerPeriod the number of members that a process probes in each period, one after the other. SWIM probes
+ *     one; it would then take a second or more until any process probes a member that died.
+ * @param probeTimeoutUs the time without an ack after which a member is probed indirectly
+ * @param indirectProbes the number of helpers that are asked for an indirect probe (k in SWIM)
+ * @param gossipIntervalUs the interval of gossip rounds, which send pending updates in addition to those that are
+ *     piggybacked on probes. Without them, under packet loss, a suspicion might not reach the suspect, or its
+ *     refutation not reach the other members, before the suspicion timeout.
+ * @param gossipFanout the number of peers that each gossip round sends to
+ * @param suspicionMultiplier the minimum suspicion timeout in units of {@code log10(n)} periods, where n is the number
+ *     of members or 50, whichever is greater (alpha in Lifeguard)
+ * @param maxSuspicionMultiplier the suspicion timeout while no other process confirms the suspicion, as a multiple of
+ *     the minimum timeout (beta in Lifeguard)
+ * @param retransmitMultiplier the number of times that each update is sent, in units of {@code log10(n + 1)} (lambda in
+ *     SWIM)
+ * @param pushPullIntervalUs the interval of push-pull syncs with a random peer
+ * @param reconnectIntervalUs the interval of push-pull syncs with a failed member, or with a seed at whose address no
+ *     member is present
+ * @param reapDelayUs the time after which a member that failed or left is removed from the view
+ * @param maxMembers the maximum number of entries in a view; updates about further members are dropped
  */
 public record MembershipSettings(
         long periodUs,
@@ -35,7 +39,7 @@
         long reapDelayUs,
         int maxMembers) {
 
-    /** For one machine or one data centre. */
+    /** The default settings, for a cluster on one machine or in one data center. */
     public static final MembershipSettings DEFAULT = new MembershipSettings(
             1_000_000, 3, 300_000, 3, 200_000, 3, 1.3, 6, 4, 30_000_000, 10_000_000, 600_000_000, 5_000);
 
@@ -43,7 +47,10 @@
     private static final int PERIODS_PER_PUSH_PULL = 30;
     private static final int PERIODS_PER_RECONNECT = 10;
 
-    /** The same with another period and probe timeout; all other intervals keep their number of periods. */
+    /**
+     * Returns these settings with another period and probe timeout. The intervals of gossip, push-pull syncs and
+     * reconnects are derived from the new period; the delay of reaping does not change.
+     */
     public MembershipSettings withPeriod(long newPeriodUs, long newProbeTimeoutUs) {
         return new MembershipSettings(
                 newPeriodUs,
--- a/cluster/src/main/java/tansypass/cluster/membership/MembershipView.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MembershipView.java
@@ -5,16 +5,18 @@
 import java.util.TreeMap;
 
 /**
- * An immutable snapshot of the cluster as one process sees it. Two views may differ for as long as docs/membership.md
- * says, so no exclusive action may rely on one alone. Times are microseconds of the process's monotonic clock.
+ * An immutable snapshot of the cluster as one process sees it. The views of two processes may differ for a limited
+ * time, which docs/membership.md specifies. Therefore an action that only one process may take must not rely on a view
+ * alone. Times are microseconds of the monotonic clock of the process.
  *
- * @param version grows with each change of this process's view
- * @param digest equal in views that have the same processes present
- * @param takenAtUs when the snapshot was taken
- * @param joined whether the process has synced with another, or has no seed to join through
- * @param lastAgreedUs when a peer's datagram last had this view's digest; the time of the start if none has
- * @param members all entries, the process's own among them, by name
- * @param changedAtUs when each entry last changed here, by name
+ * @param version a number that grows with each change of the view of this process
+ * @param digest a hash of the present members; equal in views in which the same processes are present
+ * @param takenAtUs the time of the snapshot
+ * @param joined whether the process has completed a push-pull sync with another process, or has no seed to join through
+ * @param lastAgreedUs the last time at which a datagram from a peer had the same digest as the view of this process;
+ *     the time of the start if there was none
+ * @param members all entries in the order of their names, including that of the process itself
+ * @param changedAtUs the time at which each entry last changed in the view of this process, by member name
  */
 public record MembershipView(
         long version,
@@ -32,7 +34,10 @@
                 .count();
     }
 
-    /** Returns the number of members of a role that failed while serving and are not reaped: they may serve still. */
+    /**
+     * Returns the number of members of a role that failed while they served clients and are not yet reaped. They may
+     * still be serving clients.
+     */
     public int failedWhileServingCount(Role role) {
         return (int) members.stream()
                 .filter(member -> member.state() == MemberState.FAILED && isNotDraining(member, role))
--- a/cluster/src/main/java/tansypass/cluster/membership/Message.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Message.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** A datagram between two processes, with piggybacked updates. The names of the records are on the wire. */
+/** A datagram between two processes, with piggybacked updates. The names of the records are part of the wire format. */
 public sealed interface Message {
 
-    /** Returns the sender and the piggybacked updates. */
+    /** Returns the part that all messages have: the sender and the piggybacked updates. */
     Envelope envelope();
 
     /**
-     * What all messages have.
+     * The part that all messages have. In a push-pull sync, an envelope carries a complete view.
      *
-     * @param deployment the sender's; messages of other deployments are dropped
-     * @param protocolVersion of the protocol
-     * @param senderName the sender's name
-     * @param senderGeneration the sender's generation
-     * @param digest of the sender's view; empty if the message has none
-     * @param updates the piggybacked entries
+     * @param deployment the deployment of the sender; messages of other deployments are dropped
+     * @param protocolVersion the version of the protocol in which the message is encoded
+     * @param senderName the name of the sender
+     * @param senderGeneration the generation of the sender
+     * @param digest the digest of the view of the sender; empty if the message has none
+     * @param updates the piggybacked updates, or all entries of a complete view
      */
     record Envelope(
             String deployment,
@@ -38,27 +38,30 @@
     }
 
     /**
-     * Asks for an {@link Ack}.
+     * A direct probe, to which the target responds with an {@link Ack}.
      *
-     * @param sequenceNumber comes back with the ack
-     * @param target the name of the process that is meant, whichever process has the address now
+     * @param sequenceNumber the number that the ack repeats
+     * @param target the name of the process to probe; another process that now has its address does not respond
      */
     record Ping(Envelope envelope, long sequenceNumber, String target) implements Message {}
 
     /**
-     * Asks to ping another process: an indirect probe (SWIM, section 3.1).
+     * A request to ping another process: an indirect probe (SWIM, section 3.1).
      *
-     * @param sequenceNumber comes back with the ack or the nack
+     * @param sequenceNumber the number that the ack or nack repeats
      * @param target the name of the process to ping
      */
     record PingRequest(Envelope envelope, long sequenceNumber, String target) implements Message {}
 
-    /** Responds to the ping or request of this number: its target is alive. */
+    /** The response to the ping or ping request of this sequence number: the target is alive. */
     record Ack(Envelope envelope, long sequenceNumber) implements Message {}
 
-    /** Carries updates only; never sent without any. */
+    /** A message that carries only updates, and at least one. */
     record Gossip(Envelope envelope) implements Message {}
 
-    /** Responds to the request of this number: this process is alive, but received no ack (Lifeguard, section IV A). */
+    /**
+     * The response to the ping request of this sequence number: the helper is alive, but received no ack from the
+     * target (Lifeguard, section IV A).
+     */
     record Nack(Envelope envelope, long sequenceNumber) implements Message {}
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageCodec.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageCodec.java
@@ -5,16 +5,16 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 
 /**
- * Encodes and decodes messages: CBOR (RFC 8949) in datagrams, and JSON in push-pull syncs and on the operators' page,
- * with the same keys in both. Unknown keys are skipped, so that later versions may add some. Input that can't be
- * decoded completely throws a {@link MalformedMessageException}. Thread-safe.
+ * Encodes and decodes messages and views. Datagrams are encoded in CBOR (RFC 8949); push-pull syncs and the view page
+ * are encoded in JSON, with the same keys. The decoder skips unknown keys, so later versions can add keys. It throws a
+ * {@link MalformedMessageException} unless it can decode the input completely. Thread-safe.
  */
 public final class MessageCodec {
-    /** The version of the protocol that this code speaks. */
+    /** The protocol version that this code sends. */
     public static final int VERSION = 1;
-    /** The longest datagram; short enough not to be fragmented. */
+    /** The maximum length of a datagram; short enough that IP does not fragment it. */
     public static final int MAX_DATAGRAM_BYTES = 1_400;
-    /** The longest encoded view of a push-pull sync. */
+    /** The maximum length of the encoded view in a push-pull sync. */
     public static final int MAX_VIEW_BYTES = 4 << 20;
 
     private static final int MAX_TEXT_LENGTH = 256;
@@ -52,7 +52,7 @@
         return cborEncoder.encodeMessage(message);
     }
 
-    /** Returns the bytes that an update takes in a datagram. */
+    /** Returns the number of bytes that an update takes in a datagram. */
     int encodedSize(Member update) {
         return cborEncoder.encodeMember(update).length;
     }
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Encodes a view as the page for operators.
+     * Encodes the view page, on which operators see the view of a process.
      *
-     * @param superseded whether another process of this name keeps this one out of the cluster
-     * @param healthMultiplier as {@link SwimProtocol#healthMultiplier}
+     * @param superseded the value of {@link SwimProtocol#isSuperseded}
+     * @param healthMultiplier the value of {@link SwimProtocol#healthMultiplier}
      */
     public byte[] encodeViewPage(Identity self, MembershipView view, boolean superseded, int healthMultiplier) {
         return jsonEncoder.encodeViewPage(self, view, superseded, healthMultiplier);
@@ -74,19 +74,20 @@
 
     /** Decodes a datagram. */
     public Message decode(byte[] datagram) throws MalformedMessageException {
-        requireAtMost(MAX_DATAGRAM_BYTES, datagram);
+        checkLength(MAX_DATAGRAM_BYTES, datagram);
         return cborDecoder.decodeMessage(datagram, MAX_DATAGRAM_UPDATES);
     }
 
-    /** Decodes the complete view of a push-pull sync, of at most {@code maxMembers} entries. */
+    /** Decodes the complete view of a push-pull sync, which may have at most {@code maxMembers} entries. */
     public Message.Envelope decodeView(byte[] body, int maxMembers) throws MalformedMessageException {
-        requireAtMost(MAX_VIEW_BYTES, body);
+        checkLength(MAX_VIEW_BYTES, body);
         return jsonDecoder.decodeView(body, maxMembers);
     }
 
-    private static void requireAtMost(int maxBytes, byte[] bytes) throws MalformedMessageException {
+    private static void checkLength(int maxBytes, byte[] bytes) throws MalformedMessageException {
         if (bytes.length > maxBytes) {
-            throw new MalformedMessageException("over " + maxBytes + " bytes: " + bytes.length);
+            throw new MalformedMessageException(
+                    "message has " + bytes.length + " bytes, more than the maximum of " + maxBytes);
         }
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageDecoder.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes messages and views in the encoding of its factory. The bytes come from peers and may be anything. */
+/**
+ * Decodes messages and views in the format of the JSON factory: CBOR or JSON. The bytes come from peers and may be
+ * arbitrary.
+ */
 final class MessageDecoder {
     private final JsonFactory factory;
     private final int maxTextLength;
@@ -18,7 +21,7 @@
     }
 
     Message decodeMessage(byte[] bytes, int maxUpdates) throws MalformedMessageException {
-        Fields fields = readFields(bytes, maxUpdates);
+        MessageFields fields = readFields(bytes, maxUpdates);
         Message.Envelope envelope = fields.toEnvelope();
         return switch (require(fields.kind, WireKey.KIND)) {
             case "Ping" -> new Message.Ping(envelope, fields.sequenceNumber(), fields.target());
@@ -26,7 +29,7 @@
             case "Gossip" -> new Message.Gossip(envelope);
             case "Ack" -> new Message.Ack(envelope, fields.sequenceNumber());
             case "Nack" -> new Message.Nack(envelope, fields.sequenceNumber());
-            default -> throw new MalformedMessageException("unknown kind");
+            default -> throw new MalformedMessageException("message kind is unknown");
         };
     }
 
@@ -34,83 +37,83 @@
         return readFields(bytes, maxMembers).toEnvelope();
     }
 
-    private Fields readFields(byte[] bytes, int maxUpdates) throws MalformedMessageException {
+    private MessageFields readFields(byte[] bytes, int maxUpdates) throws MalformedMessageException {
         try (JsonParser parser = factory.createParser(bytes)) {
-            Fields fields = new Fields();
-            check(parser.nextToken() == JsonToken.START_OBJECT, "not an object");
+            MessageFields fields = new MessageFields();
+            check(parser.nextToken() == JsonToken.START_OBJECT, "message is not an object");
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 parser.nextToken();
                 fields.read(name, parser, maxUpdates);
             }
-            check(parser.currentToken() == JsonToken.END_OBJECT, "truncated");
-            check(parser.nextToken() == null, "bytes after its end");
+            check(parser.currentToken() == JsonToken.END_OBJECT, "message is truncated");
+            check(parser.nextToken() == null, "message is followed by further bytes");
             return fields;
         } catch (IOException | RuntimeException e) {
-            // Unchecked ones too: no datagram, whatever its bytes, may end the event loop's handler. Jackson's own
-            // messages quote the input, so they are not part of this one.
-            throw new MalformedMessageException("malformed", e);
+            // Unchecked exceptions are caught too, because no datagram may make the handler on the event loop fail.
+            // The messages of Jackson quote the input, so this message does not include them.
+            throw new MalformedMessageException("message is malformed", e);
         }
     }
 
-    /** Throws an exception with this reason unless the condition holds. */
-    static void check(boolean condition, String otherwise) throws MalformedMessageException {
+    /** Throws an exception with the given reason unless the condition is true. */
+    static void check(boolean condition, String reason) throws MalformedMessageException {
         if (!condition) {
-            throw new MalformedMessageException(otherwise);
+            throw new MalformedMessageException(reason);
         }
     }
 
-    /** Returns the value of a required field; throws an exception if it is missing. */
-    static <T> T require(T value, String name) throws MalformedMessageException {
-        check(value != null, name + " is missing");
+    /** Returns the value of a required field; throws an exception if the value is null. */
+    static <T> T require(T value, String key) throws MalformedMessageException {
+        check(value != null, key + " is missing");
         return value;
     }
 
-    private String readText(JsonParser value) throws IOException, MalformedMessageException {
-        check(value.currentToken() == JsonToken.VALUE_STRING, "not a text");
-        String text = value.getText();
-        check(text.length() <= maxTextLength, "text too long");
+    private String readText(JsonParser parser) throws IOException, MalformedMessageException {
+        check(parser.currentToken() == JsonToken.VALUE_STRING, "value is not a text");
+        String text = parser.getText();
+        check(text.length() <= maxTextLength, "text is too long");
         return text;
     }
 
-    private List<Member> readUpdates(JsonParser value, int maxUpdates) throws IOException, MalformedMessageException {
-        check(value.currentToken() == JsonToken.START_ARRAY, "not a list");
+    private List<Member> readUpdates(JsonParser parser, int maxUpdates) throws IOException, MalformedMessageException {
+        check(parser.currentToken() == JsonToken.START_ARRAY, "updates are not a list");
         List<Member> updates = new ArrayList<>();
-        while (value.nextToken() == JsonToken.START_OBJECT) {
-            check(updates.size() < maxUpdates, "too many updates");
-            updates.add(readMember(value));
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
+            check(updates.size() < maxUpdates, "message has too many updates");
+            updates.add(readMember(parser));
         }
-        check(value.currentToken() == JsonToken.END_ARRAY, "truncated");
+        check(parser.currentToken() == JsonToken.END_ARRAY, "list of updates is truncated");
         return updates;
     }
 
-    private Member readMember(JsonParser value) throws IOException, MalformedMessageException {
+    private Member readMember(JsonParser parser) throws IOException, MalformedMessageException {
         MemberFields fields = new MemberFields();
-        while (value.nextToken() == JsonToken.FIELD_NAME) {
-            String name = value.currentName();
-            value.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case WireKey.NAME -> fields.name = readText(value);
-                case WireKey.GENERATION -> fields.generation = value.getLongValue();
-                case WireKey.NONCE -> fields.nonce = value.getLongValue();
-                case WireKey.ZONE -> fields.zone = readText(value);
-                case WireKey.ROLE -> fields.role = readText(value);
-                case WireKey.ADDRESS -> fields.address = readText(value);
-                case WireKey.OLDEST_VERSION -> fields.oldestVersion = value.getLongValue();
-                case WireKey.NEWEST_VERSION -> fields.newestVersion = value.getLongValue();
-                case WireKey.STATE -> fields.state = readText(value);
-                case WireKey.INCARNATION -> fields.incarnation = value.getLongValue();
-                case WireKey.SUSPECTED_BY -> fields.suspectedBy = readText(value);
-                case WireKey.DRAINING -> fields.isDraining = value.getBooleanValue();
-                default -> value.skipChildren();
+                case WireKey.NAME -> fields.name = readText(parser);
+                case WireKey.GENERATION -> fields.generation = parser.getLongValue();
+                case WireKey.NONCE -> fields.nonce = parser.getLongValue();
+                case WireKey.ZONE -> fields.zone = readText(parser);
+                case WireKey.ROLE -> fields.role = readText(parser);
+                case WireKey.ADDRESS -> fields.address = readText(parser);
+                case WireKey.OLDEST_VERSION -> fields.oldestVersion = parser.getLongValue();
+                case WireKey.NEWEST_VERSION -> fields.newestVersion = parser.getLongValue();
+                case WireKey.STATE -> fields.state = readText(parser);
+                case WireKey.INCARNATION -> fields.incarnation = parser.getLongValue();
+                case WireKey.SUSPECTED_BY -> fields.suspectedBy = readText(parser);
+                case WireKey.DRAINING -> fields.isDraining = parser.getBooleanValue();
+                default -> parser.skipChildren();
             }
         }
-        check(value.currentToken() == JsonToken.END_OBJECT, "truncated");
+        check(parser.currentToken() == JsonToken.END_OBJECT, "member is truncated");
         return fields.toMember();
     }
 
-    /** The fields of a message, as far as they have been read; null where none was. */
-    private final class Fields {
+    /** The fields of a message that have been read so far. A required field that has not been read is null. */
+    private final class MessageFields {
         private String kind;
         private String target;
         private Long sequenceNumber;
@@ -121,18 +124,18 @@
         private String digest = "";
         private List<Member> updates;
 
-        void read(String name, JsonParser value, int maxUpdates) throws IOException, MalformedMessageException {
+        void read(String name, JsonParser parser, int maxUpdates) throws IOException, MalformedMessageException {
             switch (name) {
-                case WireKey.KIND -> kind = readText(value);
-                case WireKey.TARGET -> target = readText(value);
-                case WireKey.NUMBER -> sequenceNumber = value.getLongValue();
-                case WireKey.DEPLOYMENT -> deployment = readText(value);
-                case WireKey.PROTOCOL_VERSION -> protocolVersion = value.getLongValue();
-                case WireKey.SENDER -> senderName = readText(value);
-                case WireKey.SENDER_GENERATION -> senderGeneration = value.getLongValue();
-                case WireKey.DIGEST -> digest = readText(value);
-                case WireKey.UPDATES -> updates = readUpdates(value, maxUpdates);
-                default -> value.skipChildren();
+                case WireKey.KIND -> kind = readText(parser);
+                case WireKey.TARGET -> target = readText(parser);
+                case WireKey.NUMBER -> sequenceNumber = parser.getLongValue();
+                case WireKey.DEPLOYMENT -> deployment = readText(parser);
+                case WireKey.PROTOCOL_VERSION -> protocolVersion = parser.getLongValue();
+                case WireKey.SENDER -> senderName = readText(parser);
+                case WireKey.SENDER_GENERATION -> senderGeneration = parser.getLongValue();
+                case WireKey.DIGEST -> digest = readText(parser);
+                case WireKey.UPDATES -> updates = readUpdates(parser, maxUpdates);
+                default -> parser.skipChildren();
             }
         }
 
@@ -145,11 +148,11 @@
         }
 
         Message.Envelope toEnvelope() throws MalformedMessageException {
-            // Clamped instead of truncated, so that no other version turns into a known one.
-            long anyVersion = require(protocolVersion, WireKey.PROTOCOL_VERSION);
+            // The version is clamped to the range of int. A cast alone could turn an unknown version into a known one.
+            long encodedVersion = require(protocolVersion, WireKey.PROTOCOL_VERSION);
             return new Message.Envelope(
                     require(deployment, WireKey.DEPLOYMENT),
-                    (int) Math.max(0, Math.min(Integer.MAX_VALUE, anyVersion)),
+                    (int) Math.max(0, Math.min(Integer.MAX_VALUE, encodedVersion)),
                     require(senderName, WireKey.SENDER),
                     require(senderGeneration, WireKey.SENDER_GENERATION),
                     digest,
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
@@ -7,7 +7,9 @@
 import java.io.UncheckedIOException;
 import java.util.Locale;
 
-/** Writes messages and views in the encoding of its factory. Their keys and values are the wire format. */
+/**
+ * Encodes messages and views in the format of the JSON factory: CBOR or JSON. The keys and values are the wire format.
+ */
 final class MessageEncoder {
     private static final int MICROS_PER_MILLI = 1_000;
 
@@ -18,20 +20,21 @@
     }
 
     /**
-     * Writes the fields of one object; declares the exception of JsonGenerator, which writing to memory never throws.
+     * Writes the fields of one object. It declares IOException because JsonGenerator does; no write to memory throws
+     * it.
      */
-    private interface Content {
-        void writeTo(JsonGenerator out) throws IOException;
+    private interface FieldWriter {
+        void writeFields(JsonGenerator out) throws IOException;
     }
 
-    private byte[] encode(Content content) {
+    private byte[] encode(FieldWriter fieldWriter) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(MessageCodec.MAX_DATAGRAM_BYTES);
         try (JsonGenerator out = factory.createGenerator(bytes)) {
             out.writeStartObject();
-            content.writeTo(out);
+            fieldWriter.writeFields(out);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory can't fail", e);
+            throw new UncheckedIOException("encoding a message in memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -61,7 +64,7 @@
         out.writeStringField(WireKey.TARGET, target);
     }
 
-    /** Encodes one member alone, in the form that it has in the list of a message. */
+    /** Encodes a single member, in the form that it has in the updates of a message. */
     byte[] encodeMember(Member member) {
         return encode(out -> writeMember(out, member));
     }
@@ -111,7 +114,7 @@
         out.writeNumberField(WireKey.NEWEST_VERSION, identity.newestVersion());
     }
 
-    /** Encodes the page for operators. Its keys and words are read by scripts. */
+    /** Encodes the view page. Scripts of operators read its keys and values. */
     byte[] encodeViewPage(Identity self, MembershipView view, boolean superseded, int healthMultiplier) {
         return encode(out -> {
             out.writeStringField("name", self.name());
@@ -136,13 +139,13 @@
 
     private static String standingOf(MembershipView view, boolean superseded) {
         if (superseded) {
-            // Scripts read this word, so it stays although the code says superseded.
+            // Scripts read this value, so it stays although the code says superseded.
             return "outside";
         }
         return view.joined() ? "joined" : "joining";
     }
 
-    private static long millisSince(long atUs, MembershipView view) {
-        return (view.takenAtUs() - atUs) / MICROS_PER_MILLI;
+    private static long millisSince(long timeUs, MembershipView view) {
+        return (view.takenAtUs() - timeUs) / MICROS_PER_MILLI;
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/OutstandingProbes.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/OutstandingProbes.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Pings that wait for an ack, by sequence number: this process's own and those it sends for others. */
+/** The pings that wait for an ack, by sequence number: pings of this process's own probes and of ping requests. */
 final class OutstandingProbes {
     private final Map<Long, Probe> probes = new HashMap<>();
 
-    /** One ping that has no ack yet. */
+    /** A ping for which no ack has been received. */
     private static final class Probe {
         private final Runnable onAck;
         private final Set<String> awaitedNacks = new LinkedHashSet<>();
@@ -19,12 +19,12 @@
         }
     }
 
-    /** Adds a probe; {@code onAck} runs once if its ack comes before it is ended. */
+    /** Adds a probe. If its ack arrives before the probe is ended, {@code onAck} runs once. */
     void begin(long sequenceNumber, Runnable onAck) {
         probes.put(sequenceNumber, new Probe(onAck));
     }
 
-    /** Records that a helper was asked for an indirect probe, and has to send a nack if it receives no ack. */
+    /** Records that a ping request was sent to a helper, which has to send a nack if it receives no ack. */
     void awaitNack(long sequenceNumber, String helper) {
         probes.get(sequenceNumber).awaitedNacks.add(helper);
     }
@@ -37,12 +37,12 @@
         return probes.size();
     }
 
-    /** Ends a probe without an ack; returns whether it was still outstanding. */
+    /** Ends a probe without an ack, and returns whether the probe was still outstanding. */
     boolean end(long sequenceNumber) {
         return probes.remove(sequenceNumber) != null;
     }
 
-    /** Returns the number of helpers that have sent no nack; 0 for a probe that has ended. */
+    /** Returns the number of helpers of a probe that have sent no nack; 0 if the probe has ended. */
     int missingNacks(long sequenceNumber) {
         Probe probe = probes.get(sequenceNumber);
         return probe == null ? 0 : probe.awaitedNacks.size();
--- a/cluster/src/main/java/tansypass/cluster/membership/PeerFilter.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/PeerFilter.java
@@ -3,7 +3,7 @@
 import tansypass.cluster.membership.MembershipCounters.Name;
 import tansypass.cluster.membership.Message.Envelope;
 
-/** Rejects, and counts, messages of another deployment or of a protocol version that this process does not support. */
+/** Rejects and counts messages of other deployments, and of protocol versions that this process does not understand. */
 final class PeerFilter {
     private final ProtocolState state;
 
@@ -11,7 +11,7 @@
         this.state = state;
     }
 
-    /** Whether a message with this envelope may be handled. */
+    /** Returns whether a message with this envelope may be handled. */
     boolean accepts(Envelope envelope) {
         Identity self = state.self();
         if (!envelope.deployment().equals(self.deployment())) {
--- a/cluster/src/main/java/tansypass/cluster/membership/ProbeOrder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ProbeOrder.java
@@ -8,38 +8,42 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
 
-/** The order of probes: rounds over all members, each in another random order (SWIM, section 4.3). */
+/**
+ * The order in which members are probed: in rounds, each over all members in a new random order (SWIM, section 4.3).
+ */
 final class ProbeOrder {
     private final UniformRandomProvider random;
-    private final List<String> round = new ArrayList<>();
+    /** The members that are still to be probed in the current round, last one first. */
+    private final List<String> remaining = new ArrayList<>();
 
     ProbeOrder(UniformRandomProvider random) {
         this.random = random;
     }
 
     /**
-     * Returns the name to probe next; empty if there is none.
+     * Returns the name of the member to probe next; empty if there is none.
      *
-     * @param names supplies the names of the next round
-     * @param isEligible whether a name, which may have entered the round a while ago, is still to be probed
+     * @param names supplies the names for a new round
+     * @param isEligible returns whether a member is still to be probed; it may have failed or left since the round
+     *     began
      */
     Optional<String> next(Supplier<List<String>> names, Predicate<String> isEligible) {
-        // The rest of this round may have no eligible name; the next one does, if there is any.
+        // If the current round has no eligible name left, the next round has one, unless no member is eligible.
         for (int rounds = 0; rounds < 2; rounds++) {
-            while (!round.isEmpty()) {
-                String name = round.remove(round.size() - 1);
+            while (!remaining.isEmpty()) {
+                String name = remaining.remove(remaining.size() - 1);
                 if (isEligible.test(name)) {
                     return Optional.of(name);
                 }
             }
-            round.addAll(names.get());
-            ListSampler.shuffle(random, round);
+            remaining.addAll(names.get());
+            ListSampler.shuffle(random, remaining);
         }
         return Optional.empty();
     }
 
-    /** Inserts a new member into the present round at a random position. */
+    /** Inserts a new member into the current round at a random position. */
     void add(String name) {
-        round.add(random.nextInt(round.size() + 1), name);
+        remaining.add(random.nextInt(remaining.size() + 1), name);
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ProtocolState.java
@@ -7,11 +7,11 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * The state that the parts of {@link SwimProtocol} share: this process's identity and status, its member table, its
- * clock and its random numbers. Confined to the thread of the {@link Scheduler}, as all parts are.
+ * The state that the parts of {@link SwimProtocol} share: the identity and status of this process, the member table,
+ * the clock and the random numbers. Confined to the thread of the {@link Scheduler}, like all parts.
  */
 final class ProtocolState {
-    /** Random draws for each distinct peer wanted, after which a selection is returned short. */
+    /** The maximum number of random draws per requested peer; after that, a selection may have fewer peers. */
     private static final int DRAWS_PER_PEER = 8;
 
     private final MembershipSettings settings;
@@ -56,17 +56,17 @@
         return table;
     }
 
-    /** This process's identity; its generation may have grown since the start. */
+    /** Returns the current identity of this process, whose generation may have increased since the start. */
     Identity self() {
         return self;
     }
 
-    /** This process's own entry in a state, under its present incarnation. */
+    /** Returns the entry of this process in the given state, under the current incarnation. */
     Member selfAs(MemberState state) {
         return new Member(self, state, incarnation, "", draining);
     }
 
-    /** This process's last entry: a process that leaves counts as draining from then on. */
+    /** Returns the entry with which this process leaves. It is marked as draining. */
     Member selfAsLeft() {
         return new Member(self, MemberState.LEFT, incarnation, "", true);
     }
@@ -75,11 +75,11 @@
         return incarnation;
     }
 
-    void setIncarnation(long next) {
-        incarnation = next;
+    void setIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
     }
 
-    /** Adopts a later generation, which starts again at incarnation 0 and is superseded by nobody. */
+    /** Starts a later generation, with incarnation 0. This process is then no longer superseded. */
     void startGeneration(long generation) {
         self = self.withGeneration(generation);
         incarnation = 0;
@@ -94,7 +94,7 @@
         draining = isDraining;
     }
 
-    /** Whether a live process of the same name and a later generation keeps this one out of the cluster. */
+    /** Returns whether a live process of the same name and a later generation keeps this process out of the cluster. */
     boolean isSuperseded() {
         return superseded;
     }
@@ -103,7 +103,7 @@
         superseded = true;
     }
 
-    /** Whether this process has completed a push-pull sync with another, or had no seed to join through. */
+    /** Returns whether this process has completed a push-pull sync with another, or had no seed to join through. */
     boolean isJoined() {
         return joined;
     }
@@ -112,7 +112,7 @@
         joined = isJoined;
     }
 
-    /** Whether this process has left or was stopped; it sends nothing from then on. */
+    /** Returns whether this process has left or was stopped. A stopped process sends nothing. */
     boolean isStopped() {
         return stopped;
     }
@@ -121,28 +121,31 @@
         stopped = true;
     }
 
-    /** Returns a number that no earlier probe of this process had. */
+    /** Returns a sequence number that no earlier probe of this process had. */
     long nextSequenceNumber() {
         return ++lastSequenceNumber;
     }
 
-    /** A uniformly random delay from 1 to {@code maxUs} microseconds, so that processes don't act in step. */
-    long jittered(long maxUs) {
+    /**
+     * Returns a uniformly random delay from 1 to {@code maxUs} microseconds. Random delays keep processes from acting
+     * at the same time.
+     */
+    long randomDelayUs(long maxUs) {
         return random.nextLong(maxUs) + 1;
     }
 
-    /** One element of a list that is not empty, uniformly at random. */
+    /** Returns a uniformly random element of a list that is not empty. */
     <T> T randomElement(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
-    /** Whether a name belongs to a present member other than this process. */
+    /** Returns whether a name belongs to a present member other than this process. */
     boolean isPresentPeer(String name) {
         return !name.equals(self.name())
                 && table.find(name).filter(Member::isPresent).isPresent();
     }
 
-    /** The names of all present members but this process. */
+    /** Returns the names of all present members except this process. */
     List<String> presentPeerNames() {
         return table.present().stream()
                 .map(member -> member.identity().name())
@@ -150,11 +153,14 @@
                 .toList();
     }
 
-    /** Up to {@code count} distinct present members at random, never this process nor {@code excludedName}. */
+    /**
+     * Returns up to {@code count} distinct random members that are present, without this process and the member named
+     * {@code excludedName}.
+     */
     List<Member> randomPeers(int count, String excludedName) {
         List<Member> present = table.present();
         Map<String, Member> selected = new LinkedHashMap<>();
-        // Bounded: in a cluster of a few members there may be no further distinct peer to draw.
+        // The number of draws is bounded because a small cluster may have fewer than the requested number of peers.
         int maxDraws = DRAWS_PER_PEER * count;
         for (int draws = 0; selected.size() < count && draws < maxDraws && !present.isEmpty(); draws++) {
             Member member = randomElement(present);
--- a/cluster/src/main/java/tansypass/cluster/membership/Role.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Role.java
@@ -1,9 +1,9 @@
 package tansypass.cluster.membership;
 
-/** The function of a process in the cluster. The names go over the wire. */
+/** The function of a process in the cluster. The names of the constants are part of the wire format. */
 public enum Role {
-    /** Serves clients. */
+    /** A proxy node, which serves clients. */
     NODE,
-    /** Keeps the endpoint list of web servers. */
+    /** A registry, which maintains the endpoint list of web servers. */
     REGISTRY
 }
--- a/cluster/src/main/java/tansypass/cluster/membership/Suspicion.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Suspicion.java
@@ -5,15 +5,15 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * The timer within which one suspect has to refute: long while only one process suspects it, and shorter with each
- * that confirms the suspicion (Lifeguard, section IV B).
+ * The suspicion timer of one suspect. The timeout is longest while only one process suspects the member, and each
+ * process that confirms the suspicion shortens it (Lifeguard, section IV B).
  */
 final class Suspicion {
     private final Scheduler scheduler;
     private final Runnable onTimeout;
-    private final long minUs;
-    private final long maxUs;
-    private final int confirmations;
+    private final long minTimeoutUs;
+    private final long maxTimeoutUs;
+    private final int expectedConfirmations;
     private final long startedUs;
     private final Set<String> suspectedBy = new HashSet<>();
     private Scheduler.Timer timer;
@@ -21,36 +21,46 @@
     /**
      * Starts the timer.
      *
-     * @param minUs the timeout once it is confirmed often enough
-     * @param maxUs the timeout while nobody confirms it; not used if no confirmation is needed
-     * @param confirmations how many other processes bring the timeout down to the minimum
-     * @param firstBy the process that suspects it first
-     * @param onTimeout runs unless it is cancelled before
+     * @param minTimeoutUs the timeout after {@code expectedConfirmations} confirmations
+     * @param maxTimeoutUs the timeout without any confirmation; not used if no confirmation is expected
+     * @param expectedConfirmations the number of confirmations that reduce the timeout to the minimum
+     * @param firstSuspectedBy the name of the process that raised the suspicion
+     * @param onTimeout runs at the timeout, unless the timer is cancelled before
      */
-    Suspicion(Scheduler scheduler, long minUs, long maxUs, int confirmations, String firstBy, Runnable onTimeout) {
+    Suspicion(
+            Scheduler scheduler,
+            long minTimeoutUs,
+            long maxTimeoutUs,
+            int expectedConfirmations,
+            String firstSuspectedBy,
+            Runnable onTimeout) {
         this.scheduler = scheduler;
-        this.minUs = minUs;
-        this.maxUs = confirmations > 0 ? maxUs : minUs;
-        this.confirmations = confirmations;
+        this.minTimeoutUs = minTimeoutUs;
+        this.maxTimeoutUs = expectedConfirmations > 0 ? maxTimeoutUs : minTimeoutUs;
+        this.expectedConfirmations = expectedConfirmations;
         this.onTimeout = onTimeout;
         startedUs = scheduler.nowUs();
-        suspectedBy.add(firstBy);
-        timer = scheduler.after(this.maxUs, onTimeout);
+        suspectedBy.add(firstSuspectedBy);
+        timer = scheduler.after(this.maxTimeoutUs, onTimeout);
     }
 
-    /** Records that one more process suspects it; returns whether that is new and still shortens the timer. */
-    boolean confirm(String name) {
-        if (suspectedBy.size() > confirmations || !suspectedBy.add(name)) {
+    /**
+     * Records that one more process suspects the member, and shortens the timeout. Returns whether the confirmation
+     * counts: whether it is the first from this process and the expected number was not yet reached.
+     */
+    boolean confirm(String processName) {
+        if (suspectedBy.size() > expectedConfirmations || !suspectedBy.add(processName)) {
             return false;
         }
-        double confirmedShare = Math.log(suspectedBy.size()) / Math.log(confirmations + 1.0);
-        long timeoutUs = Math.max(minUs, Math.round(maxUs - confirmedShare * (maxUs - minUs)));
+        double confirmedFraction = Math.log(suspectedBy.size()) / Math.log(expectedConfirmations + 1.0);
+        long timeoutUs =
+                Math.max(minTimeoutUs, Math.round(maxTimeoutUs - confirmedFraction * (maxTimeoutUs - minTimeoutUs)));
         timer.cancel();
         timer = scheduler.after(startedUs + timeoutUs - scheduler.nowUs(), onTimeout);
         return true;
     }
 
-    /** Stops the timer. */
+    /** Cancels the timer. */
     void cancel() {
         timer.cancel();
     }
--- a/cluster/src/main/java/tansypass/cluster/membership/SuspicionTracker.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SuspicionTracker.java
@@ -5,23 +5,26 @@
 import tansypass.cluster.membership.MembershipCounters.Name;
 
 /**
- * Runs a timer for each suspect, which is shortened with each further process that suspects it too (Lifeguard, section
- * IV B), and declares a suspect failed that has not refuted the suspicion by then.
+ * Runs a suspicion timer for each suspect, and declares a suspect failed if it does not refute the suspicion before the
+ * timeout. Each further process that suspects the same member shortens the timeout (Lifeguard, section IV B).
  */
 final class SuspicionTracker {
-    /** A smaller cluster waits as long as one of this size: a paused process does not resume sooner in it. */
+    /**
+     * The minimum cluster size from which the suspicion timeout is computed. In a smaller cluster a paused process does
+     * not resume any sooner, so it needs as much time.
+     */
     private static final int MIN_CLUSTER_SIZE = 50;
-    /** Final pings to a suspect before it counts as failed: a single datagram may get lost. */
+    /** The number of pings that a suspect gets before it is declared failed, because a single datagram may get lost. */
     private static final int FINAL_PINGS = 4;
 
     private final ProtocolState state;
-    private final FailureDetector detector;
+    private final FailureDetector failureDetector;
     private final MemberUpdates updates;
     private final Map<String, Suspicion> suspicions = new HashMap<>();
 
-    SuspicionTracker(ProtocolState state, FailureDetector detector, MemberUpdates updates) {
+    SuspicionTracker(ProtocolState state, FailureDetector failureDetector, MemberUpdates updates) {
         this.state = state;
-        this.detector = detector;
+        this.failureDetector = failureDetector;
         this.updates = updates;
     }
 
@@ -30,46 +33,50 @@
         state.counters().increment(Name.SUSPECTED);
         MembershipSettings settings = state.settings();
         int clusterSize = state.table().present().size();
-        long minUs = Math.round(settings.suspicionMultiplier()
+        long minTimeoutUs = Math.round(settings.suspicionMultiplier()
                 * Math.log10(Math.max(MIN_CLUSTER_SIZE, clusterSize))
                 * settings.periodUs()
                 * state.health().multiplier());
-        long maxUs = Math.round(settings.maxSuspicionMultiplier() * minUs);
-        // With too few other processes to confirm the suspicion, waiting for them would only delay the failure.
-        int confirmers = clusterSize - 2;
-        int confirmations = confirmers < settings.indirectProbes() ? 0 : settings.indirectProbes();
+        long maxTimeoutUs = Math.round(settings.maxSuspicionMultiplier() * minTimeoutUs);
+        // With too few other processes to confirm the suspicion, waiting for confirmations would only delay detection.
+        int possibleConfirmations = clusterSize - 2;
+        int expectedConfirmations = possibleConfirmations < settings.indirectProbes() ? 0 : settings.indirectProbes();
         Suspicion suspicion = new Suspicion(
                 state.scheduler(),
-                minUs,
-                maxUs,
-                confirmations,
+                minTimeoutUs,
+                maxTimeoutUs,
+                expectedConfirmations,
                 suspect.suspectedBy(),
                 () -> pingBeforeFailing(suspect, 0));
         suspicions.put(suspect.identity().name(), suspicion);
     }
 
-    /** Records that one more process suspects a member; returns whether that was new. */
-    boolean confirm(String name, String suspectedBy) {
-        Suspicion suspicion = suspicions.get(name);
+    /**
+     * Records that one more process suspects a member. Returns whether this shortened the timeout, so that the
+     * confirmation is worth disseminating.
+     */
+    boolean confirm(String memberName, String suspectedBy) {
+        Suspicion suspicion = suspicions.get(memberName);
         return suspicion != null && suspicion.confirm(suspectedBy);
     }
 
-    /** Cancels the timer of a member, if it has one. */
-    void cancel(String name) {
-        Suspicion suspicion = suspicions.remove(name);
+    /** Cancels the suspicion timer of a member, if there is one. */
+    void cancel(String memberName) {
+        Suspicion suspicion = suspicions.remove(memberName);
         if (suspicion != null) {
             suspicion.cancel();
         }
     }
 
-    /** Pings the suspect before declaring it failed: its refutation may not have reached this process. */
+    /** Pings the suspect before declaring it failed, because its refutation may not have reached this process. */
     private void pingBeforeFailing(Member suspect, int pingsSent) {
         if (pingsSent == FINAL_PINGS) {
             fail(suspect);
         } else if (!state.isStopped() && state.table().isCurrent(suspect)) {
-            detector.ping(suspect, state.nextSequenceNumber());
-            long waitUs = state.settings().probeTimeoutUs() / 3 * state.health().multiplier();
-            state.scheduler().after(waitUs, () -> pingBeforeFailing(suspect, pingsSent + 1));
+            failureDetector.ping(suspect, state.nextSequenceNumber());
+            long intervalUs =
+                    state.settings().probeTimeoutUs() / 3 * state.health().multiplier();
+            state.scheduler().after(intervalUs, () -> pingBeforeFailing(suspect, pingsSent + 1));
         }
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
@@ -12,20 +12,20 @@
  * Process Group Membership Protocol", 2002) with Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health
  * Awareness for More Accurate Failure Detection", 2017).
  *
- * <p>It owns the state and routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
+ * <p>This class owns the state and routes messages to the parts ({@link FailureDetector}, {@link Dissemination},
  * {@link AntiEntropy}, {@link JoinProtocol}, {@link IncarnationGuard}, {@link MemberTableUpdater}). Single-threaded:
- * all calls come from the thread of its {@link Scheduler}. It never blocks, and its memory is bounded whatever peers
- * send.
+ * all calls come from the thread of the {@link Scheduler}. No call blocks. The memory in use is bounded, regardless of
+ * what peers send.
  */
 public final class SwimProtocol implements Membership {
     private final ProtocolState state;
     private final MessageCodec codec = new MessageCodec();
-    private final PeerFilter filter;
+    private final PeerFilter peerFilter;
     private final Dissemination dissemination;
-    private final FailureDetector detector;
+    private final FailureDetector failureDetector;
     private final AntiEntropy antiEntropy;
-    private final JoinProtocol joining;
-    private final IncarnationGuard incarnations;
+    private final JoinProtocol joinProtocol;
+    private final IncarnationGuard incarnationGuard;
     private final MemberTableUpdater tableUpdater;
 
     /** Forwards updates to the {@link MemberTableUpdater}, which is created after the parts that produce them. */
@@ -41,37 +41,37 @@
         }
     }
 
-    /** Creates a process that knows only itself and has not started. */
+    /** Creates a protocol that has not started and whose process knows no other member. */
     public SwimProtocol(MembershipEnvironment environment) {
         Network network = environment.network();
         List<InetSocketAddress> seeds = environment.seeds();
         state = new ProtocolState(environment);
-        filter = new PeerFilter(state);
+        peerFilter = new PeerFilter(state);
         ProbeOrder probeOrder = new ProbeOrder(environment.random());
         OutstandingProbes probes = new OutstandingProbes();
         MemberUpdates updates = new ForwardedUpdates();
         dissemination = new Dissemination(state, network, codec);
-        detector = new FailureDetector(state, dissemination, probes, probeOrder, updates);
-        SuspicionTracker suspicions = new SuspicionTracker(state, detector, updates);
-        antiEntropy = new AntiEntropy(state, network, codec, filter, seeds, updates);
-        joining = new JoinProtocol(state, antiEntropy, seeds);
-        incarnations = new IncarnationGuard(state, dissemination, probes, updates);
+        failureDetector = new FailureDetector(state, dissemination, probes, probeOrder, updates);
+        SuspicionTracker suspicionTracker = new SuspicionTracker(state, failureDetector, updates);
+        antiEntropy = new AntiEntropy(state, network, codec, peerFilter, seeds, updates);
+        joinProtocol = new JoinProtocol(state, antiEntropy, seeds);
+        incarnationGuard = new IncarnationGuard(state, dissemination, probes, updates);
         tableUpdater = new MemberTableUpdater(
-                state, dissemination, probeOrder, suspicions, incarnations, environment.listener());
+                state, dissemination, probeOrder, suspicionTracker, incarnationGuard, environment.listener());
     }
 
-    /** Begins to join, probe, gossip and sync. */
+    /** Starts to join the cluster, to probe members, to gossip and to sync views. */
     @Override
     public void start() {
         antiEntropy.markStarted();
-        incarnations.announce();
-        joining.start();
-        detector.start();
+        incarnationGuard.announce();
+        joinProtocol.start();
+        failureDetector.start();
         dissemination.start();
         antiEntropy.start();
     }
 
-    /** Announces to some peers that this process leaves, and stops. */
+    /** Announces to some random peers that this process leaves, and stops the protocol. */
     @Override
     public void leave() {
         if (state.isStopped()) {
@@ -83,18 +83,18 @@
         state.setStopped();
     }
 
-    /** Stops without notice: to peers this process then looks failed. */
+    /** Stops the protocol without notice. Peers then detect this process as failed. */
     @Override
     public void stop() {
         state.setStopped();
     }
 
     /**
-     * Sets whether this process serves clients or is draining; peers learn of a change at once, under a new
+     * Sets whether this process serves clients or is draining. A change is announced to peers at once, under a new
      * incarnation.
      */
     public void setServing(boolean serving) {
-        incarnations.setServing(serving);
+        incarnationGuard.setServing(serving);
     }
 
     @Override
@@ -115,13 +115,13 @@
         return state.counters();
     }
 
-    /** Returns this process's present identity; its generation may have grown since the start. */
+    /** Returns the current identity of this process, whose generation may have increased since the start. */
     @Override
     public Identity self() {
         return state.self();
     }
 
-    /** Returns whether a live process of the same name and a later generation keeps this one out of the cluster. */
+    /** Returns whether a live process of the same name and a later generation keeps this process out of the cluster. */
     public boolean isSuperseded() {
         return state.isSuperseded();
     }
@@ -131,12 +131,14 @@
         return dissemination.pendingUpdates();
     }
 
-    /** Returns the factor by which this process's timeouts are extended (Lifeguard); 1 if it is healthy. */
+    /**
+     * Returns the factor by which the timeouts of this process are extended (Lifeguard); 1 if the process is healthy.
+     */
     public int healthMultiplier() {
         return state.health().multiplier();
     }
 
-    /** Drops, and counts, what is malformed or of another deployment or version. */
+    /** Handles a datagram; drops and counts messages that are malformed or of another deployment or version. */
     @Override
     public void onDatagram(InetSocketAddress from, byte[] datagram) {
         if (state.isStopped()) {
@@ -150,26 +152,26 @@
             return;
         }
         Envelope envelope = message.envelope();
-        // A superseded process handles acks only, by which it learns whether its namesake still responds.
+        // A superseded process handles only acks, which show whether the other process of its name still responds.
         boolean isIgnored = state.isSuperseded() && !(message instanceof Message.Ack);
-        if (!filter.accepts(envelope) || isIgnored) {
+        if (!peerFilter.accepts(envelope) || isIgnored) {
             return;
         }
         envelope.updates().forEach(tableUpdater::apply);
         route(from, message);
-        joining.learnOfSender(from, envelope);
+        joinProtocol.syncIfSenderUnknown(from, envelope);
         antiEntropy.compareDigest(envelope);
     }
 
     private void route(InetSocketAddress from, Message message) {
         if (message instanceof Message.Ping ping) {
-            detector.onPing(from, ping);
+            failureDetector.onPing(from, ping);
         } else if (message instanceof Message.PingRequest request) {
-            detector.onPingRequest(from, request);
+            failureDetector.onPingRequest(from, request);
         } else if (message instanceof Message.Ack ack) {
-            detector.onAck(ack);
+            failureDetector.onAck(ack);
         } else if (message instanceof Message.Nack nack) {
-            detector.onNack(nack);
+            failureDetector.onNack(nack);
         }
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/WireKey.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/WireKey.java
@@ -1,8 +1,8 @@
 package tansypass.cluster.membership;
 
 /**
- * The keys of messages and members in CBOR and JSON. Peers of other versions and operators' scripts read them, so a key
- * stays as it is whatever its field is called in the code.
+ * The keys of messages and members in CBOR and JSON. Peers of other versions and scripts of operators read them, so a
+ * key must not change when the corresponding field is renamed in the code.
  */
 final class WireKey {
     static final String KIND = "kind";
--- a/cluster/src/main/java/tansypass/cluster/runtime/Scheduler.java
+++ b/cluster/src/main/java/tansypass/cluster/runtime/Scheduler.java
@@ -1,25 +1,25 @@
 package tansypass.cluster.runtime;
 
 /**
- * The clock and the timers of one single-threaded state machine: of an event loop, or of virtual time. All times are
- * microseconds of a monotonic clock with an arbitrary origin.
+ * The clock and the timers of one single-threaded state machine, provided by an event loop or, in simulations, by
+ * virtual time. All times are microseconds of a monotonic clock with an arbitrary origin.
  */
 public interface Scheduler {
 
-    /** The time now; never goes backwards. */
+    /** Returns the current time in microseconds, which never goes backwards. */
     long nowUs();
 
     /**
-     * Schedules a task to run once, on the scheduler's thread.
+     * Schedules a task to run once, on the scheduler's thread, after a delay.
      *
-     * @param delayUs the least delay; a task with none or a negative one runs as soon as it can, though never from
-     *     within this call
+     * @param delayUs the minimum delay; if it is zero or negative, the task runs as soon as possible, but never within
+     *     this call
      */
     Timer after(long delayUs, Runnable task);
 
     /** A scheduled task. */
     interface Timer {
-        /** Cancels the task; does nothing if it has run. */
+        /** Cancels the task; does nothing if the task has already run. */
         void cancel();
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/runtime/package-info.java
+++ b/cluster/src/main/java/tansypass/cluster/runtime/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What is injected into the cluster's state machines: a clock with timers, and streams of random numbers. In a real
- * process an event loop provides them, in a simulation virtual time and a seed.
+ * The clock, timers and random numbers that are injected into the state machines of the cluster. In a real process an
+ * event loop provides the clock and timers; in a simulation, virtual time does, and all random numbers follow from one
+ * seed.
  */
 package tansypass.cluster.runtime;
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterMember.java
@@ -20,8 +20,8 @@
 import tansypass.cluster.runtime.RandomStreams;
 
 /**
- * This process as a member of its cluster: the protocol with an event loop and sockets of its own. Thread-safe, but for
- * the {@link ClusterTransport.Handler} methods, which are called on the event loop.
+ * This process as a member of its cluster: the membership protocol with an event loop and sockets of its own.
+ * Thread-safe, except for the {@link ClusterTransport.Handler} methods, which are called on the event loop.
  */
 public final class ClusterMember implements ClusterTransport.Handler {
     private static final long LEAVE_TIMEOUT_MS = 200;
@@ -29,23 +29,23 @@
     private static final int NANOS_PER_MICRO = 1_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final ClusterTransport transport = new ClusterTransport(loop);
+    private final EventLoop eventLoop = group.next();
+    private final ClusterTransport transport = new ClusterTransport(eventLoop);
     private final MessageCodec codec = new MessageCodec();
     private final InetSocketAddress listenAddress;
     private final SwimProtocol protocol;
     private volatile Optional<MembershipView> view = Optional.empty();
-    private volatile long publishedNs;
+    private volatile long viewPublishedNs;
     private volatile Map<String, Long> counters = Map.of();
 
     /**
      * Creates a member that has not started.
      *
-     * @param listenAddress where it receives what others send to the address of its identity; the same address unless
-     *     something translates between the two
-     * @param seeds addresses to join through
-     * @param seed of its random numbers
-     * @param listener called on the event loop with each change of the view
+     * @param listenAddress the address at which this process listens; it differs from the address of the identity only
+     *     if addresses are translated in between
+     * @param seeds the addresses through which this process joins the cluster
+     * @param seed the seed of the random numbers
+     * @param listener receives each change of the view, on the event loop
      */
     public ClusterMember(
             MembershipSettings settings,
@@ -59,57 +59,60 @@
                 settings,
                 self,
                 seeds,
-                new EventLoopScheduler(loop),
+                new EventLoopScheduler(eventLoop),
                 RandomStreams.of(seed, "membership"),
                 transport,
                 listener));
     }
 
     /**
-     * Opens the sockets and begins to join. Blocks until they are open.
+     * Opens the sockets and starts to join the cluster. Blocks until the sockets are open.
      *
-     * @throws ClusterBindException if the address can't be bound
+     * @throws ClusterBindException if a socket cannot be bound to the listen address
      */
     public void start() throws ClusterBindException {
         transport.open(listenAddress, this);
-        loop.execute(() -> {
+        eventLoop.execute(() -> {
             protocol.start();
             publish();
         });
-        loop.scheduleAtFixedRate(this::publish, PUBLISH_INTERVAL_MS, PUBLISH_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleAtFixedRate(this::publish, PUBLISH_INTERVAL_MS, PUBLISH_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Makes the view and the counters readable from any thread. */
+    /** Copies the view and the counters into fields that any thread can read. */
     private void publish() {
         view = Optional.of(protocol.view());
-        publishedNs = System.nanoTime();
+        viewPublishedNs = System.nanoTime();
         counters = protocol.counters().all();
     }
 
-    /** The age of {@link #view}, microseconds; Long.MAX_VALUE before the start. It grows if the loop is blocked. */
+    /**
+     * Returns the age of {@link #view} in microseconds; Long.MAX_VALUE before the start. The age grows while the event
+     * loop is blocked.
+     */
     public long viewAgeUs() {
-        return view.isEmpty() ? Long.MAX_VALUE : (System.nanoTime() - publishedNs) / NANOS_PER_MICRO;
+        return view.isEmpty() ? Long.MAX_VALUE : (System.nanoTime() - viewPublishedNs) / NANOS_PER_MICRO;
     }
 
-    /** Announces whether this process serves clients or is draining. */
+    /** Announces to peers whether this process serves clients or is draining. */
     public void setServing(boolean serving) {
-        loop.execute(() -> protocol.setServing(serving));
+        eventLoop.execute(() -> protocol.setServing(serving));
     }
 
-    /** The view, normally no older than 100 ms; empty before the start. */
+    /** Returns the last published view, which is normally no older than 100 ms; empty before the start. */
     public Optional<MembershipView> view() {
         return view;
     }
 
-    /** The counters by name, as old as the view. */
+    /** Returns the values of the counters by name, as of the time of the last published view. */
     public Map<String, Long> counters() {
         return counters;
     }
 
-    /** Announces that this process leaves, and waits up to 200 ms until the datagrams are sent. */
+    /** Announces that this process leaves the cluster, and waits up to 200 ms until the datagrams are sent. */
     public void leave() {
         CountDownLatch sent = new CountDownLatch(1);
-        loop.execute(() -> {
+        eventLoop.execute(() -> {
             protocol.leave();
             publish();
             sent.countDown();
@@ -121,9 +124,12 @@
         }
     }
 
-    /** Stops without notice to others, closes the sockets and ends the event loop. Blocks until it has ended. */
+    /**
+     * Stops the protocol without notice to peers, closes the sockets, and shuts the event loop down. Blocks until the
+     * event loop has terminated.
+     */
     public void close() {
-        loop.execute(protocol::stop);
+        eventLoop.execute(protocol::stop);
         transport.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterRequestHandler.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterRequestHandler.java
@@ -15,7 +15,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Optional;
 
-/** Serves one HTTP request of a connection, a push-pull sync or the operators' page, and closes it. */
+/** Serves one HTTP request per connection, for a push-pull sync or the view page, and then closes the connection. */
 final class ClusterRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final byte[] NO_BODY = {};
 
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
@@ -28,77 +28,82 @@
 import tansypass.cluster.membership.Network;
 
 /**
- * The cluster's sockets of one process: datagrams by UDP, and push-pull syncs as HTTP/1.1 with JSON, both at one
- * address. Confined to one event loop, which serves no clients. Input is bounded: the bytes of a message, the number of
- * concurrent connections, and the duration of each.
+ * The sockets of one process for the membership protocol: UDP for datagrams, and HTTP/1.1 with JSON for push-pull
+ * syncs, both at the same address. Confined to one event loop, which serves no clients. The size of a message, the
+ * number of concurrent connections and the duration of a connection are limited.
  */
 public final class ClusterTransport implements Network {
-    /** Where push-pull syncs are posted. */
+    /** The path to which push-pull syncs are posted. */
     public static final String PUSH_PULL_PATH = "/fleet/v1/exchange";
-    /** Where operators get a process's view. */
+    /** The path at which operators get the view of a process. */
     public static final String VIEW_PATH = "/fleet/v1/view";
 
-    /** Of connecting, of a response, and of a connection that another process opened. */
+    /**
+     * The limit for opening a connection, for waiting for a response, and for the duration of an inbound connection.
+     */
     private static final int TIMEOUT_MS = 1_000;
 
     private static final int MAX_INBOUND_CONNECTIONS = 64;
     private static final int MAX_OUTBOUND_CALLS = 16;
     private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Set<Channel> inboundConnections = new HashSet<>();
     private InetSocketAddress localAddress;
     private Channel datagramChannel;
     private Channel serverChannel;
     private int outboundCalls;
 
-    /** Handles what is received; called on the event loop. */
+    /** Handles datagrams and requests from other processes. The methods are called on the event loop. */
     public interface Handler {
         /**
-         * A datagram was received.
+         * Handles a datagram.
          *
-         * @param from the address to which a response is sent
+         * @param from the address of the sender, to which a response is sent
          */
         void onDatagram(InetSocketAddress from, byte[] datagram);
 
-        /** A peer pushed its view; returns this process's own; empty if the peer's is rejected. */
+        /**
+         * Merges the view of a peer and returns the view of this process; empty if the view of the peer is rejected.
+         */
         Optional<byte[]> onPushPull(byte[] peerView);
 
-        /** Returns the page for operators, as JSON. */
+        /** Returns the view page for operators, as JSON. */
         byte[] viewPage();
     }
 
-    /** Creates a transport whose sockets are not open. */
-    public ClusterTransport(EventLoop loop) {
-        this.loop = loop;
+    /** Creates a transport whose sockets are not open yet. */
+    public ClusterTransport(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     /**
-     * Opens both sockets. Blocks until they are bound, so it must not be called on the event loop.
+     * Opens both sockets. Must not be called on the event loop, because it blocks until both are bound.
      *
-     * @throws ClusterBindException if one can't be bound
+     * @throws ClusterBindException if a socket cannot be bound
      */
     public void open(InetSocketAddress address, Handler handler) throws ClusterBindException {
-        // Push-pull syncs are sent from the same host as datagrams, so that peers can identify the sender by it.
+        // Push-pull syncs have the same source host as datagrams, by which peers can identify the sender.
         localAddress = new InetSocketAddress(address.getAddress(), 0);
         ChannelFuture datagramBind = bindDatagrams(address, handler).awaitUninterruptibly();
         if (!datagramBind.isSuccess()) {
-            throw new ClusterBindException("take datagrams", address, datagramBind.cause());
+            throw new ClusterBindException("UDP", address, datagramBind.cause());
         }
         datagramChannel = datagramBind.channel();
         ChannelFuture serverBind = bindServer(address, handler).awaitUninterruptibly();
         if (!serverBind.isSuccess()) {
             datagramChannel.close();
-            throw new ClusterBindException("listen", address, serverBind.cause());
+            throw new ClusterBindException("TCP", address, serverBind.cause());
         }
         serverChannel = serverBind.channel();
     }
 
     private ChannelFuture bindDatagrams(InetSocketAddress address, Handler handler) {
-        // One byte more than allowed: a longer datagram is truncated, and still seen to be too long.
+        // The buffer has one byte more than a datagram may have. A longer datagram is truncated to that length, by
+        // which the codec still detects that it is too long.
         FixedRecvByteBufAllocator receiveBuffers = new FixedRecvByteBufAllocator(MessageCodec.MAX_DATAGRAM_BYTES + 1);
         return new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, receiveBuffers)
@@ -108,23 +113,23 @@
 
     private ChannelFuture bindServer(InetSocketAddress address, Handler handler) {
         return new ServerBootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        admit(channel, handler);
+                        acceptConnection(channel, handler);
                     }
                 })
                 .bind(address);
     }
 
-    /** Closes the sockets that are open and all connections that others opened. */
+    /** Closes the sockets, if they are open, and all inbound connections. */
     public void close() {
         closeIfOpened(datagramChannel);
         closeIfOpened(serverChannel);
-        loop.execute(() -> Set.copyOf(inboundConnections).forEach(Channel::close));
+        eventLoop.execute(() -> Set.copyOf(inboundConnections).forEach(Channel::close));
     }
 
     private static void closeIfOpened(Channel channel) {
@@ -133,14 +138,14 @@
         }
     }
 
-    private void admit(SocketChannel channel, Handler handler) {
+    private void acceptConnection(SocketChannel channel, Handler handler) {
         if (inboundConnections.size() >= MAX_INBOUND_CONNECTIONS) {
             channel.close();
             return;
         }
         inboundConnections.add(channel);
         channel.closeFuture().addListener(closed -> inboundConnections.remove(channel));
-        loop.schedule(() -> channel.close(), TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(() -> channel.close(), TIMEOUT_MS, TimeUnit.MILLISECONDS);
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
@@ -153,11 +158,11 @@
         datagramChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to));
     }
 
-    /** The result is empty also if too many syncs are in flight already. */
+    /** Starts a push-pull sync. The result is also empty if too many syncs are already in flight. */
     @Override
     public void pushPull(InetSocketAddress to, byte[] view, Consumer<Optional<byte[]>> onResult) {
         if (outboundCalls >= MAX_OUTBOUND_CALLS) {
-            loop.execute(() -> onResult.accept(Optional.empty()));
+            eventLoop.execute(() -> onResult.accept(Optional.empty()));
             return;
         }
         outboundCalls++;
@@ -166,7 +171,7 @@
             onResult.accept(peerView);
         });
         new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TIMEOUT_MS)
--- a/cluster/src/main/java/tansypass/cluster/transport/DatagramHandler.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/DatagramHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 
-/** Passes received datagrams to the protocol. */
+/** Passes received datagrams to the membership protocol. */
 final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final ClusterTransport.Handler handler;
 
@@ -20,7 +20,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // No process listens where an earlier datagram was sent. The socket is not connected, so it goes on reading.
+        // The address of an earlier datagram has no listener. The socket is not connected, so reading can continue.
         ctx.read();
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/transport/EventLoopScheduler.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/EventLoopScheduler.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.TimeUnit;
 import tansypass.cluster.runtime.Scheduler;
 
-/** The clock and timers of a Netty event loop. Its tasks run on the loop's thread; any thread may call it. */
+/** The clock and timers of a Netty event loop. Tasks run on the thread of the loop; any thread may schedule them. */
 public final class EventLoopScheduler implements Scheduler {
     private static final int NANOS_PER_MICRO = 1_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long originNs = System.nanoTime();
 
-    /** Creates a scheduler whose tasks run on the given event loop and whose clock starts now. */
-    public EventLoopScheduler(EventLoop loop) {
-        this.loop = loop;
+    /** Creates a scheduler whose tasks run on the given event loop and whose clock starts at 0 now. */
+    public EventLoopScheduler(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     @Override
@@ -24,7 +24,7 @@
 
     @Override
     public Timer after(long delayUs, Runnable task) {
-        Future<?> pending = loop.schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
+        Future<?> pending = eventLoop.schedule(task, Math.max(0, delayUs), TimeUnit.MICROSECONDS);
         return () -> pending.cancel(false);
     }
 }
--- a/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/PushPullCall.java
@@ -16,11 +16,11 @@
 import java.util.function.Consumer;
 
 /**
- * One push-pull sync that this process started, on a connection of its own; completes once, with the peer's view if it
- * sent one.
+ * A push-pull sync that this process started, on a connection of its own. It completes exactly once, with the view of
+ * the peer, or with empty if the peer sent none.
  */
 final class PushPullCall extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** The peer is known by its address alone, but HTTP/1.1 requires a host. */
+    /** The Host header. HTTP/1.1 requires one, but a peer has no host name, only an address. */
     private static final String HOST = "fleet";
 
     private final byte[] view;
@@ -51,7 +51,7 @@
         ctx.close();
     }
 
-    /** Reports the result; does nothing if one was reported before. */
+    /** Reports the result of the sync; does nothing if a result was already reported. */
     void complete(Optional<byte[]> peerView) {
         if (!isCompleted) {
             isCompleted = true;
--- a/cluster/src/main/java/tansypass/cluster/transport/package-info.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries the membership protocol over the network, on one Netty event loop of its own: datagrams by UDP, and push-pull
- * syncs and the operators' page by HTTP/1.1.
+ * The network transport of the membership protocol, on a Netty event loop of its own: UDP for datagrams, and HTTP/1.1
+ * for push-pull syncs and the view page.
  */
 package tansypass.cluster.transport;
--- a/cluster/src/test/java/tansypass/cluster/membership/WireFormatTest.java
+++ b/cluster/src/test/java/tansypass/cluster/membership/WireFormatTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lists each name that leaves the process: other versions, operators' scripts and dashboards read them, so a rename
- * in the code must not reach them.
+ * Lists the names that the wire format, the view page and the metrics contain. Processes of other versions, scripts and
+ * dashboards read them, so a rename in the code must not change them.
  */
 class WireFormatTest {
     private static final String MEMBER = "{'name':'n','gen':5,'nonce':6,'zone':'z','role':'node','at':'127.0.0.2:7',"
--- a/cluster/src/test/java/tansypass/cluster/transport/ClusterTransportTest.java
+++ b/cluster/src/test/java/tansypass/cluster/transport/ClusterTransportTest.java
@@ -16,13 +16,17 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A transport whose address is in use can be closed, so that the node serves without membership. */
+/**
+ * Tests that a transport can be closed after it failed to open because its address was in use. The node closes it and
+ * then serves clients without membership.
+ */
 class ClusterTransportTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private static void assertClosesAfterFailedOpen(InetSocketAddress address, Closeable user) throws IOException {
+    private static void assertClosesAfterFailedOpen(InetSocketAddress address, Closeable addressOwner)
+            throws IOException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (user) {
+        try (addressOwner) {
             ClusterTransport transport = new ClusterTransport(group.next());
             ClusterBindException failure =
                     assertThrows(ClusterBindException.class, () -> transport.open(address, null));
@@ -35,13 +39,13 @@
 
     @Test
     void closesAfterUdpAddressWasInUse() throws IOException {
-        DatagramSocket user = new DatagramSocket(0, LOOPBACK);
-        assertClosesAfterFailedOpen((InetSocketAddress) user.getLocalSocketAddress(), user);
+        DatagramSocket addressOwner = new DatagramSocket(0, LOOPBACK);
+        assertClosesAfterFailedOpen((InetSocketAddress) addressOwner.getLocalSocketAddress(), addressOwner);
     }
 
     @Test
     void closesAfterTcpAddressWasInUse() throws IOException {
-        ServerSocket user = new ServerSocket(0, 1, LOOPBACK);
-        assertClosesAfterFailedOpen((InetSocketAddress) user.getLocalSocketAddress(), user);
+        ServerSocket addressOwner = new ServerSocket(0, 1, LOOPBACK);
+        assertClosesAfterFailedOpen((InetSocketAddress) addressOwner.getLocalSocketAddress(), addressOwner);
     }
 }
