--- a/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/FailureDetector.java
@@ -81,8 +81,8 @@
      * Pings a member. The ack has an effect only if a probe with this sequence number is outstanding.
      */
     void ping(Member target, long sequenceNumber) {
-        // A ping to a suspect always carries the suspicion, which the suspect can then refute (Lifeguard, section IV
-        // C).
+        // A ping to a suspect always carries the suspicion, so that the suspect can refute the suspicion
+        // (Lifeguard, section IV C).
         Optional<Member> firstUpdate = Optional.of(target).filter(member -> member.state() == MemberState.SUSPECT);
         Identity identity = target.identity();
         dissemination.send(
--- a/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
@@ -17,7 +17,7 @@
     private final Dissemination dissemination;
     private final OutstandingProbes probes;
     private final MemberUpdates updates;
-    /** Whether a later generation of this name at another address is being pinged or has responded. */
+    /** True while a later generation of this name at another address is being pinged or has responded. */
     private boolean hasNameConflict;
 
     IncarnationGuard(
--- a/cluster/src/main/java/tansypass/cluster/membership/MembershipCounters.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MembershipCounters.java
@@ -28,17 +28,17 @@
         EXCHANGES,
         /** Push-pull syncs that got no response, or one that was rejected. */
         EXCHANGES_FAILED,
-        /** Messages that could not be decoded. */
+        /** Messages dropped because they could not be decoded. */
         DROPPED_MALFORMED,
-        /** Messages of other deployments. */
+        /** Messages dropped because they are of another deployment. */
         DROPPED_DEPLOYMENT,
-        /** Messages, and updates about members, of protocol versions that this process does not understand. */
+        /** Messages, and updates about members, dropped because this process does not understand their version. */
         DROPPED_VERSION,
-        /** Updates about new members while the table was full. */
+        /** Updates about new members, dropped because the member table was full. */
         DROPPED_FULL,
         /** Ping requests dropped because their target is unknown or too many probes are outstanding. */
         DROPPED_BUSY,
-        /** Updates about a later generation of this process's own name: of another process, or of an earlier run. */
+        /** Updates about another process, or an earlier run, that has this process's name and supersedes it. */
         NAME_CONFLICTS,
         /** Push-pull syncs that this process started because the digest of a peer differed. */
         VIEWS_COMPARED
--- a/cluster/src/main/java/tansypass/cluster/membership/ProbeOrder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ProbeOrder.java
@@ -13,8 +13,8 @@
  */
 final class ProbeOrder {
     private final UniformRandomProvider random;
-    /** The members that are still to be probed in the current round, last one first. */
-    private final List<String> remaining = new ArrayList<>();
+    /** The members that are still to be probed in the current round; the last element is probed next. */
+    private final List<String> remainingNames = new ArrayList<>();
 
     ProbeOrder(UniformRandomProvider random) {
         this.random = random;
@@ -30,20 +30,20 @@
     Optional<String> next(Supplier<List<String>> names, Predicate<String> isEligible) {
         // If the current round has no eligible name left, the next round has one, unless no member is eligible.
         for (int rounds = 0; rounds < 2; rounds++) {
-            while (!remaining.isEmpty()) {
-                String name = remaining.remove(remaining.size() - 1);
+            while (!remainingNames.isEmpty()) {
+                String name = remainingNames.remove(remainingNames.size() - 1);
                 if (isEligible.test(name)) {
                     return Optional.of(name);
                 }
             }
-            remaining.addAll(names.get());
-            ListSampler.shuffle(random, remaining);
+            remainingNames.addAll(names.get());
+            ListSampler.shuffle(random, remainingNames);
         }
         return Optional.empty();
     }
 
     /** Inserts a new member into the current round at a random position. */
     void add(String name) {
-        remaining.add(random.nextInt(remaining.size() + 1), name);
+        remainingNames.add(random.nextInt(remainingNames.size() + 1), name);
     }
 }
