--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -1,23 +1,23 @@
 package tansypass.balancer;
 
-/** The queue of requests that no server has capacity for, by priority and then first come, first served. */
+/** The queue of requests that wait for a server with capacity, ordered by priority and then by arrival. */
 final class AdmissionQueue {
-    /** Shortest time between two passes over the queue. */
+    /** Shortest interval between the timed passes over the queue, which reject expired requests. */
     private static final long MIN_EXPIRY_INTERVAL_US = 5_000;
 
-    /** A request with fewer mean latencies of its class left to its objective is late. */
-    private static final double MIN_LATENCIES_LEFT = 2;
+    /** A request is late if the time to its objective is less than this multiple of its class's mean latency. */
+    private static final double LATE_MEAN_LATENCIES = 2;
 
-    /** But it is late only with less than this share of the objective left. */
+    /** A request is never late while this share or more of its objective is left. */
     private static final double MAX_LATE_SHARE = 0.8;
 
-    /** Seconds of its quota that a tenant may use up at once. */
+    /** Largest burst of a tenant's requests, in seconds of its quota. */
     private static final double QUOTA_BURST_S = 1;
 
-    /** Which requests a pass over the queue can still send. */
+    /** The requests that the present pass over the queue can still send. */
     private enum Availability {
         ANY,
-        /** No server is free but ejected ones, which non-idempotent requests are not sent to. */
+        /** Only ejected servers may have capacity, and non-idempotent requests are not sent to these. */
         NOT_FOR_NON_IDEMPOTENT,
         NONE
     }
@@ -33,10 +33,10 @@
     private final TokenBucket[] quotas;
     private final RunningMean meanPriorityWeight = new RunningMean(ResponseStatistics.MEAN_GAIN, 0);
     private final StablePriorityQueue<PendingRequest> queue = new StablePriorityQueue<>(PendingRequest::priority);
-    /** In the present pass over the queue. */
+    /** The requests that can still be sent in the present pass over the queue. */
     private Availability availability = Availability.ANY;
 
-    /** Whether the present pass over the queue has lowered a priority, so that the queue must be sorted. */
+    /** True if the present pass over the queue has lowered a priority: the queue must then be sorted again. */
     private boolean priorityLowered;
 
     AdmissionQueue(
@@ -62,12 +62,12 @@
         return queue.isEmpty();
     }
 
-    /** When the next pass over the queue is due, {@link Long#MAX_VALUE} for never. */
+    /** Returns the time of the next pass over the queue, {@link Long#MAX_VALUE} if the queue is empty. */
     long nextPassAtUs(long nowUs) {
         return queue.isEmpty() ? Long.MAX_VALUE : nowUs + expiryIntervalUs;
     }
 
-    /** Sets a request's priority: its weight, lower beyond its tenant's quota, for each unit of its work. */
+    /** Sets a request's priority: its weight, which is reduced beyond its tenant's quota, per unit of its work. */
     void prioritize(PendingRequest pending, long nowUs) {
         double weight = pending.requestClass().priorityWeight();
         if (!tryTakeQuota(pending.tenant(), nowUs)) {
@@ -78,7 +78,7 @@
         pending.setPriority(weight, weight / work);
     }
 
-    /** Takes a request from this node's part of a tenant's quota; returns whether it is within the quota. */
+    /** Takes one request from this node's share of a tenant's quota. Returns whether the quota allows the request. */
     private boolean tryTakeQuota(int tenant, long nowUs) {
         if (tenant < 0) {
             return true;
@@ -87,15 +87,15 @@
         return quotaPerS <= 0 || quotas[tenant].tryTake(nowUs, quotaPerS, QUOTA_BURST_S);
     }
 
-    /** A request's priority weight as a multiple of the mean. */
+    /** Returns a request's priority weight as a multiple of the mean weight of all requests. */
     double relativeWeight(PendingRequest pending) {
         return pending.priorityWeight() / meanPriorityWeight.value();
     }
 
-    /** Sends a request to a server that is drawn, or queues it. */
+    /** Sends a request to a server that has capacity for it, or queues the request. */
     void dispatch(PendingRequest pending, long nowUs) {
-        boolean mayBeSent = queue.isEmpty() && nowUs < pending.deadlineAtUs();
-        if (!mayBeSent || !trySend(pending, nowUs)) {
+        boolean canSendNow = queue.isEmpty() && nowUs < pending.deadlineAtUs();
+        if (!canSendNow || !trySend(pending, nowUs)) {
             add(pending);
             dispatchQueued(nowUs);
         }
@@ -115,7 +115,7 @@
         queue.add(pending);
     }
 
-    /** Passes over the queue: sends what the servers have capacity for, and rejects what can't succeed any more. */
+    /** Passes over the queue: sends the requests that servers have capacity for, and rejects expired ones. */
     void dispatchQueued(long nowUs) {
         if (queue.isEmpty()) {
             return;
@@ -146,18 +146,18 @@
         }
     }
 
-    /** Whether a request has no chance left, or will have none at the next pass. */
+    /** Returns whether a request can't succeed any more, or will not be able to at the next pass. */
     private boolean isExpired(PendingRequest pending, boolean late, long nowUs) {
         return pending.deadlineAtUs() - nowUs <= expiryIntervalUs + settings.tickUs()
                 || (late && pending.requestClass().residualWeight() == 0)
                 || !rules.canRetry(pending, nowUs);
     }
 
-    /** Whether a request is unlikely to meet its latency objective. */
+    /** Returns whether a request is unlikely to meet its latency objective. */
     private boolean isLate(PendingRequest pending, long nowUs) {
         double maxLateUs = MAX_LATE_SHARE * (pending.objectiveAtUs() - pending.arrivedAtUs());
-        double neededUs = MIN_LATENCIES_LEFT * responses.meanLatencyUs(pending);
-        return pending.objectiveAtUs() - nowUs < Math.min(maxLateUs, neededUs);
+        double expectedUs = LATE_MEAN_LATENCIES * responses.meanLatencyUs(pending);
+        return pending.objectiveAtUs() - nowUs < Math.min(maxLateUs, expectedUs);
     }
 
     private boolean canBeSent(PendingRequest pending) {
@@ -171,7 +171,7 @@
     private void trySendQueued(PendingRequest pending, long nowUs) {
         boolean sent = trySend(pending, nowUs);
         if (!sent && pending.attemptCount() == 0) {
-            // A request without attempts may go to any server: what it did not find, the next one does not find either.
+            // A request without attempts can go to any server: if none admits it, none admits a later one of its kind.
             availability = pending.isNonIdempotent() ? Availability.NOT_FOR_NON_IDEMPOTENT : Availability.NONE;
         }
     }
--- a/node/src/main/java/tansypass/balancer/Attempt.java
+++ b/node/src/main/java/tansypass/balancer/Attempt.java
@@ -8,7 +8,7 @@
     /** Null while the attempt is in flight. */
     private AttemptResult result;
 
-    /** An attempt that is sent now; attempts of a request are numbered from 0. */
+    /** Creates an attempt that is sent now. The attempts of a request are numbered from 0. */
     Attempt(int number, Server server, long nowUs) {
         this.number = number;
         this.server = server;
@@ -23,7 +23,7 @@
         return server;
     }
 
-    /** When it was sent; with the last byte of the body if that was still being received. */
+    /** Returns the time at which the attempt was sent; the last byte of its body, if the body was sent later. */
     long sentAtUs() {
         return sentAtUs;
     }
@@ -32,12 +32,12 @@
         return result == null;
     }
 
-    /** Whether the server may have executed the request, or may still do so. */
+    /** Returns whether the server may have executed the request, or may still execute it. */
     boolean mayHaveExecuted() {
         return result == null || !result.isKnownNotExecuted();
     }
 
-    /** The last byte of the body has been sent. */
+    /** Records that the last byte of the body has been sent. */
     void recordBodySent(long nowUs) {
         sentAtUs = nowUs;
     }
--- a/node/src/main/java/tansypass/balancer/AttemptResult.java
+++ b/node/src/main/java/tansypass/balancer/AttemptResult.java
@@ -1,22 +1,22 @@
 package tansypass.balancer;
 
-/** How an attempt or a probe ended. */
+/** The result of an attempt or a probe. */
 public enum AttemptResult {
     /** A response without an error. */
     OK(false),
     /** An error response; the request may have been executed. */
     ERROR(false),
-    /** Rejected by the server before it was executed. */
+    /** Rejected by the server, which has not executed the request. */
     OVERLOADED(true),
-    /** No response in time; the request may have been executed, or still be executed later. */
+    /** No response in time; the request may have been executed, or may be executed later. */
     TIMEOUT(false),
-    /** No connection in time. */
+    /** No connection was opened in time. */
     CONNECT_FAILED(true),
     /** The connection was reset; the request may have been executed. */
     RESET(false),
     /** Cancelled by the node; the request may have been executed. */
     CANCELLED(false),
-    /** Not sent. */
+    /** The node did not send the attempt. */
     NOT_SENT(true);
 
     private final boolean knownNotExecuted;
@@ -25,7 +25,7 @@
         this.knownNotExecuted = knownNotExecuted;
     }
 
-    /** Whether the server is known not to have executed the request, so that any request may be retried. */
+    /** Returns whether the server has certainly not executed the request, in which case any request may be retried. */
     public boolean isKnownNotExecuted() {
         return knownNotExecuted;
     }
--- a/node/src/main/java/tansypass/balancer/AttemptSender.java
+++ b/node/src/main/java/tansypass/balancer/AttemptSender.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** Sends attempts, and counts them wherever attempts in flight are counted. */
+/** Sends attempts, and reports each of them to the classes that count attempts. */
 final class AttemptSender {
     private final LoadBalancerActions actions;
     private final EndpointTable servers;
@@ -40,7 +40,10 @@
         actions.send(pending.id(), server.id(), rules.attemptDeadlineUs(pending));
     }
 
-    /** The body of a request is complete: its attempt, if it has one in flight, begins to count from here. */
+    /**
+     * Handles the end of a request's body. An attempt in flight is counted and timed only from now on, since the server
+     * begins to work on the complete request.
+     */
     void onBodyComplete(PendingRequest pending, long nowUs) {
         Attempt inFlight = pending.attemptInFlightOrNull();
         if (inFlight == null) {
--- a/node/src/main/java/tansypass/balancer/BalancerSettings.java
+++ b/node/src/main/java/tansypass/balancer/BalancerSettings.java
@@ -4,34 +4,37 @@
 import java.util.List;
 
 /**
- * The settings of one node's load balancer. Immutable and valid; {@link Builder} has the defaults.
+ * The settings of one node's load balancer. An instance is immutable and always valid. The defaults are those of
+ * {@link Builder}.
  *
- * @param nodes number of nodes that share the servers, this one included; 1 or more
+ * @param nodes number of nodes that share the servers, including this one; 1 or more
  * @param localZone this node's zone, an index into {@code zones}
  * @param zones names of the zones; empty where there are none
  * @param classes request classes; at least one
  * @param tenants tenants; may be empty
- * @param overQuotaWeight weight of a request beyond its tenant's quota, as a share of its class's weight
- * @param weightByWork whether weights count for each unit of work, not for each request
- * @param maxAttempts most attempts for a request; 1 or more
+ * @param overQuotaWeight priority weight of a request beyond its tenant's quota, as a share of its class's priority
+ *     weight
+ * @param weightByWork whether priority weights are per unit of a request's work; if false, they are per request
+ * @param maxAttempts maximum number of attempts for a request; 1 or more
  * @param hedging whether a request may have two attempts in flight at once
  * @param cancel whether attempts may be cancelled
  * @param probes whether servers may be probed
- * @param maxRetryAfterUs longest Retry-After, in microseconds; 0 if none may be given
- * @param tickUs least time between two events, in microseconds
+ * @param maxRetryAfterUs longest Retry-After of a rejection, in microseconds; 0 if rejections have none
+ * @param tickUs shortest time between two events that the load balancer is given, in microseconds
  * @param connectTimeoutUs time allowed to open a connection, in microseconds
  * @param connectionIdleUs time after which servers close an idle connection, in microseconds
- * @param listPolling whether the endpoint list must be polled or subscribed to
+ * @param listPolling whether the node must poll the endpoint list or subscribe to it; if false, updates arrive without
+ *     a request
  * @param maxPollIntervalUs longest interval between two polls of the endpoint list, in microseconds
- * @param drainGraceUs time in which sends to a server must end after notice that it is draining or gone, in
- *     microseconds
- * @param slowStartCapacity least share of its capacity that a server starts with, in (0, 1]
+ * @param drainGraceUs time within which a node must stop sending to a server after it has learned that the server is
+ *     draining or gone, in microseconds
+ * @param slowStartCapacity smallest share of its full capacity that a server has right after its start, in (0, 1]
  * @param slowStartUs longest time in which a server warms up, in microseconds
  * @param overloadMultiple a server that is warming up fails when all nodes together send it more than this multiple of
  *     its present capacity during {@code overloadWindowUs}; above 0
  * @param overloadWindowUs length of that window, in microseconds
  * @param crossZonePrice price of an attempt that crosses zones; 0 if crossing is free
- * @param probePrice price of one probe for each request, in the unit in which the priority weight of all requests is 1
+ * @param probePrice price of one probe, as a multiple of the mean priority weight of a request
  * @param reportFields fields of load reports, in order; empty if there are none
  */
 public record BalancerSettings(
@@ -148,25 +151,25 @@
         }
     }
 
-    /** Returns a builder with the default of each setting; the classes have none. */
+    /** Returns a builder that has the defaults. Classes have no default: at least one must be added. */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * How long a node keeps an idle connection, in microseconds: half of the servers' time, since a request written to
-     * a connection that its server is just closing may have been executed.
+     * Returns how long a node keeps an idle connection, in microseconds. This is half of the servers' idle timeout: a
+     * request that is written to a connection while its server closes it may have been executed.
      */
     public long idleTimeoutUs() {
         return connectionIdleUs / 2;
     }
 
-    /** Whether a request's class and tenant are among these settings'. */
-    boolean isKnown(BalancerRequest request) {
+    /** Returns whether these settings contain the class and the tenant of a request. */
+    boolean hasClassAndTenant(BalancerRequest request) {
         return request.classIndex() >= 0 && request.classIndex() < classes.size() && request.tenant() < tenants.size();
     }
 
-    /** Builds settings. Setters are named after the record's components, which document them. Not thread-safe. */
+    /** Builds settings. Each setter has the name of the record component that documents it. Not thread-safe. */
     public static final class Builder {
         private int nodes = 1;
         private int localZone;
@@ -221,9 +224,9 @@
         }
 
         /** Adds a class to {@link BalancerSettings#classes}. */
-        public Builder addClass(RequestClass added) {
+        public Builder addClass(RequestClass requestClass) {
             List<RequestClass> extended = new ArrayList<>(classes);
-            extended.add(added);
+            extended.add(requestClass);
             classes = extended;
             return this;
         }
--- a/node/src/main/java/tansypass/balancer/ClusterSize.java
+++ b/node/src/main/java/tansypass/balancer/ClusterSize.java
@@ -1,11 +1,11 @@
 package tansypass.balancer;
 
-/** How many nodes share the servers, this one included: limits and quotas are divided among them. */
+/** The number of nodes that share the servers, including this one. Limits and quotas are divided among the nodes. */
 final class ClusterSize {
     private final int configuredNodes;
     private int nodes;
 
-    /** The size by the settings, until an update. */
+    /** Creates a cluster size that is the configured one until an update. */
     ClusterSize(int configuredNodes) {
         this.configuredNodes = configuredNodes;
         nodes = configuredNodes;
@@ -16,17 +16,18 @@
     }
 
     /**
-     * Takes over the membership's count of nodes.
+     * Updates the number of nodes to that of the membership protocol.
      *
-     * @param present nodes that serve clients; 0 if that is not known any more
-     * @param lost nodes that are unreachable from here, which may still serve clients and so count as present
+     * @param present number of nodes that serve clients; 0 if the number is unknown
+     * @param lost number of nodes that are unreachable from here; they count as present because they may still serve
+     *     clients
      */
     void update(int present, int lost) {
         if (present == 0) {
             nodes = configuredNodes;
             return;
         }
-        // A count far below the configured one is more likely incomplete than true.
+        // A number far below the configured one is more likely incomplete than correct.
         int minNodes = (configuredNodes + 1) / 2;
         nodes = Math.max(minNodes, present + lost);
     }
--- a/node/src/main/java/tansypass/balancer/ConcurrencyLimit.java
+++ b/node/src/main/java/tansypass/balancer/ConcurrencyLimit.java
@@ -1,35 +1,37 @@
 package tansypass.balancer;
 
-/** How many requests this node may have in flight at one server. Times are microseconds of the caller's clock. */
+/**
+ * The number of attempts that this node may have in flight at one server. Times are microseconds of the caller's clock.
+ */
 final class ConcurrencyLimit {
-    /** Limit of a new server over all nodes: few enough for a single core. */
+    /** Limit of a new server over all nodes, low enough for a server with a single core. */
     private static final double INITIAL_LIMIT = 4;
 
     private double value;
-    private long decreasedAtUs;
-    private long reachedAtUs;
+    private long lastCutAtUs;
+    private long lastReachedAtUs;
 
-    /** A new server's limit, divided among so many nodes. */
+    /** Creates the limit of a new server that is shared by this number of nodes. */
     ConcurrencyLimit(int nodes) {
         reset(nodes);
     }
 
-    /** The limit: a mean, and not a whole number. */
+    /** Returns the limit, which is a mean and need not be a whole number. */
     double value() {
         return value;
     }
 
-    /** Whether a further request would exceed the limit; one is always allowed. */
+    /** Returns whether a further attempt would exceed the limit. A single attempt never does. */
     boolean isReached(int inFlight) {
         return inFlight + 1 > Math.max(1, value);
     }
 
-    /** Returns to the limit of a new server. */
+    /** Resets the limit to that of a new server. */
     void reset(int nodes) {
         value = INITIAL_LIMIT / nodes;
     }
 
-    /** Scales the limit with this node's share of the servers. */
+    /** Multiplies the limit by a factor because this node's share of the servers has changed. */
     void scale(double factor) {
         value *= factor;
     }
@@ -39,25 +41,25 @@
     }
 
     /**
-     * Cuts the limit, once for all requests that were sent before the last cut.
+     * Cuts the limit because of an attempt, unless the limit was cut after that attempt was sent.
      *
-     * @param part share of the limit that is cut, in [0, 1)
-     * @param min the limit does not fall below this
+     * @param share share of the limit that is cut, in [0, 1)
+     * @param minLimit value that the limit does not fall below
      */
-    void decrease(double part, double min, long sentAtUs, long nowUs) {
-        if (sentAtUs >= decreasedAtUs) {
-            value = Math.max(min, value * (1 - part));
-            decreasedAtUs = nowUs;
+    void cut(double share, double minLimit, long sentAtUs, long nowUs) {
+        if (sentAtUs >= lastCutAtUs) {
+            value = Math.max(minLimit, value * (1 - share));
+            lastCutAtUs = nowUs;
         }
     }
 
     /** Records that a request was not sent because of the limit. */
     void recordReached(long nowUs) {
-        reachedAtUs = nowUs;
+        lastReachedAtUs = nowUs;
     }
 
-    /** Whether that happened at this time or later. */
+    /** Returns whether a request was not sent because of the limit at {@code sinceUs} or later. */
     boolean wasReachedSince(long sinceUs) {
-        return reachedAtUs >= sinceUs;
+        return lastReachedAtUs >= sinceUs;
     }
 }
--- a/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
+++ b/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
@@ -1,32 +1,37 @@
 package tansypass.balancer;
 
 /**
- * Departure from ServiceQ, concurrency limits: each server has one, which grows with fast responses and is cut by slow
- * ones; their sum bounds this node.
+ * Adaptive concurrency limits. Each server has a limit, which fast responses raise and slow responses cut. The sum of
+ * the limits bounds the attempts in flight of this node. This is a departure from ServiceQ.
  */
 final class ConcurrencyLimiter {
-    /** Responses slower than this share of the latency objective are a sign of congestion. */
+    /** Responses that take longer than this share of the latency objective indicate congestion. */
     private static final double CONGESTED_OBJECTIVE_SHARE = 0.35;
 
-    /** So are responses that take this many times the minimum latency of their class. */
+    /** Responses that take longer than this multiple of their class's minimum latency indicate congestion. */
     static final double CONGESTED_LATENCY_MULTIPLE = 3;
 
-    /** Growth of a server's limit over all nodes with each fast response. */
-    private static final double INCREASE = 0.15;
+    /** Amount by which a fast response raises a server's limit over all nodes. */
+    private static final double LIMIT_INCREASE = 0.15;
 
-    /** Share of a limit that a slow response cuts. */
-    private static final double DECREASE = 0.1;
+    /** Share by which a slow response cuts a server's limit. */
+    private static final double CONGESTED_CUT_SHARE = 0.1;
 
-    /** Share of a limit that a timeout cuts. */
-    private static final double TIMEOUT_DECREASE = 0.3;
+    /** Share by which a timeout cuts a server's limit. */
+    private static final double TIMEOUT_CUT_SHARE = 0.3;
 
-    /** Exponent of the number of nodes in growth and cut of the limits: at 0 a node of many learns too slowly. */
+    /**
+     * Exponent of the number of nodes by which raises and cuts scale: at 0 a node of a large cluster learns too slowly.
+     */
     private static final double NODE_COUNT_EXPONENT = 0.25;
 
-    /** Square roots of the total limit, which is a mean, that are allowed on top of it. */
-    private static final double BURST_ROOTS = 2.5;
+    /**
+     * Burst allowed above the total limit, as a multiple of its square root: the limit is a mean, and the number of
+     * attempts in flight varies around it.
+     */
+    private static final double BURST_SQRT_MULTIPLE = 2.5;
 
-    /** Part of the burst that each response of a new node allows. */
+    /** Share of the burst that each of a new node's first responses allows. */
     private static final double BURST_PER_RESPONSE = 1.0 / 16;
 
     private final ClusterSize clusterSize;
@@ -34,8 +39,8 @@
     private final ResponseStatistics responses;
     private final SlowStart slowStart;
     private final ClientThrottle throttle;
-    private final double increase;
-    private final double decrease;
+    private final double limitIncrease;
+    private final double congestedCutShare;
 
     ConcurrencyLimiter(
             BalancerSettings settings,
@@ -49,10 +54,10 @@
         this.responses = responses;
         this.slowStart = slowStart;
         this.throttle = throttle;
-        // One factor for both keeps the balance between them over all nodes, whatever their number.
+        // Raises and cuts scale by the same factor: their ratio over all nodes does not depend on the number of nodes.
         double nodeFactor = Math.pow(settings.nodes(), NODE_COUNT_EXPONENT);
-        increase = INCREASE / nodeFactor;
-        decrease = 1 - Math.pow(1 - DECREASE, nodeFactor);
+        limitIncrease = LIMIT_INCREASE / nodeFactor;
+        congestedCutShare = 1 - Math.pow(1 - CONGESTED_CUT_SHARE, nodeFactor);
     }
 
     /** Adjusts a server's limit to a successful response. */
@@ -62,9 +67,9 @@
                 CONGESTED_OBJECTIVE_SHARE * pending.latencyObjectiveUs(),
                 CONGESTED_LATENCY_MULTIPLE * responses.minLatencyUs(pending));
         if (latencyUs > congestedUs) {
-            decrease(server, decrease, sentAtUs, nowUs);
-        } else if (server.limit.wasReachedSince(sentAtUs) && mayIncrease(server, nowUs)) {
-            server.limit.increase(increase);
+            cut(server, congestedCutShare, sentAtUs, nowUs);
+        } else if (server.limit.wasReachedSince(sentAtUs) && canIncrease(server, nowUs)) {
+            server.limit.increase(limitIncrease);
         }
         servers.addToTotalLimit(server, server.limit.value() - before);
     }
@@ -72,31 +77,34 @@
     /** Cuts a server's limit because an attempt timed out. */
     void recordTimeout(Server server, long sentAtUs, long nowUs) {
         double before = server.limit.value();
-        decrease(server, TIMEOUT_DECREASE, sentAtUs, nowUs);
+        cut(server, TIMEOUT_CUT_SHARE, sentAtUs, nowUs);
         servers.addToTotalLimit(server, server.limit.value() - before);
     }
 
-    /** A server that is warming up is fast with few requests: its limit does not exceed the mean of the others'. */
-    private boolean mayIncrease(Server server, long nowUs) {
+    /**
+     * Returns whether a server's limit can be raised. A server that is warming up responds fast because it has few
+     * requests, and its limit is raised only while it is below the mean limit.
+     */
+    private boolean canIncrease(Server server, long nowUs) {
         return !slowStart.isWarmingUp(server, nowUs)
                 || server.limit.value() * servers.ready().length < servers.totalLimit();
     }
 
-    private void decrease(Server server, double part, long sentAtUs, long nowUs) {
-        server.limit.decrease(part, 1.0 / clusterSize.nodes(), sentAtUs, nowUs);
+    private void cut(Server server, double share, long sentAtUs, long nowUs) {
+        server.limit.cut(share, 1.0 / clusterSize.nodes(), sentAtUs, nowUs);
     }
 
-    /** Whether a further attempt at the server would exceed its limit or the total one. */
+    /** Returns whether a further attempt at the server would exceed the server's limit or the total limit. */
     boolean isLimitReached(Server server) {
         return server.limit.isReached(server.inFlight()) || isTotalLimitReached();
     }
 
-    /** Records that a request was not sent because a limit was reached: only then may the server's limit grow. */
+    /** Records that a request was not sent because of a limit. The server's limit is raised only after that. */
     void recordLimitReached(Server server, long nowUs) {
         server.limit.recordReached(nowUs);
     }
 
-    /** Scales all limits: this node's share of the servers has changed. */
+    /** Multiplies all limits by a factor because this node's share of the servers has changed. */
     void scaleLimits(double factor) {
         for (Server server : servers.tracked()) {
             server.limit.scale(factor);
@@ -104,7 +112,10 @@
         servers.recountInUse();
     }
 
-    /** A burst is allowed gradually with a new node's first responses, and less the fewer responses are in time. */
+    /**
+     * Returns whether a further attempt would exceed the total limit and the burst. The burst grows with a new node's
+     * first responses, and shrinks to 0 as the success ratio falls to one half.
+     */
     private boolean isTotalLimitReached() {
         int inFlight = servers.inFlight();
         if (inFlight == 0) {
@@ -112,7 +123,7 @@
         }
         double burstShare =
                 Math.min(1, BURST_PER_RESPONSE * responses.count()) * Math.max(0, 2 * throttle.successRatio() - 1);
-        double burst = BURST_ROOTS * burstShare * Math.sqrt(servers.totalLimit());
+        double burst = BURST_SQRT_MULTIPLE * burstShare * Math.sqrt(servers.totalLimit());
         return inFlight + 1 > servers.totalLimit() + burst;
     }
 }
--- a/node/src/main/java/tansypass/balancer/ConnectionTracker.java
+++ b/node/src/main/java/tansypass/balancer/ConnectionTracker.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** Estimates, from the ends of attempts, which servers this node has an idle connection to. */
+/** Estimates from the outcomes of attempts whether this node has an idle connection to a server. */
 final class ConnectionTracker {
     private final long idleTimeoutUs;
 
@@ -8,12 +8,12 @@
         idleTimeoutUs = settings.idleTimeoutUs();
     }
 
-    /** An attempt takes an idle connection if there is one. */
+    /** Records that an attempt is sent, which uses an idle connection if there is one. */
     void recordSend(Server server) {
         server.idleConnections.remove();
     }
 
-    /** A response leaves its connection idle. */
+    /** Records that an attempt has ended and its connection is idle. */
     void recordReusable(Server server, long nowUs) {
         server.idleConnections.add(nowUs, nowUs - idleTimeoutUs);
     }
--- a/node/src/main/java/tansypass/balancer/DecayingEwma.java
+++ b/node/src/main/java/tansypass/balancer/DecayingEwma.java
@@ -5,10 +5,10 @@
     private final double gain;
     private final double baseline;
     private double value;
-    private long addedAt;
+    private long addedAtUs;
 
     /**
-     * An average at its baseline.
+     * Creates an average at its baseline.
      *
      * @param gain share of a new value in the average, in (0, 1]
      * @param baseline value that the average decays to
@@ -23,11 +23,11 @@
     void add(double next, long nowUs, double decayUs) {
         double before = value(nowUs, decayUs);
         value = before + gain * (next - before);
-        addedAt = nowUs;
+        addedAtUs = nowUs;
     }
 
-    /** The average as of now; times as for {@link #add}. */
+    /** Returns the average as of now; {@code decayUs} has the same meaning as in {@link #add}. */
     double value(long nowUs, double decayUs) {
-        return baseline + (value - baseline) * Math.exp(-(nowUs - addedAt) / decayUs);
+        return baseline + (value - baseline) * Math.exp(-(nowUs - addedAtUs) / decayUs);
     }
 }
--- a/node/src/main/java/tansypass/balancer/DeduplicationScope.java
+++ b/node/src/main/java/tansypass/balancer/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** The servers among which repeats of a request with the same idempotency key are dropped. */
+/** The group of servers that share idempotency keys: within it, a repeat with the same key is dropped. */
 public enum DeduplicationScope {
     /** All servers. */
     ALL,
--- a/node/src/main/java/tansypass/balancer/EjectionState.java
+++ b/node/src/main/java/tansypass/balancer/EjectionState.java
@@ -2,18 +2,18 @@
 
 import java.util.SplittableRandom;
 
-/** Whether one server is ejected, and the outcomes that decide it. Times are microseconds of the caller's clock. */
+/** The ejection state of one server, and its latest outcomes. Times are microseconds of the caller's clock. */
 final class EjectionState {
-    /** Number of latest outcomes that are remembered. */
-    private static final int WINDOW = 16;
+    /** Number of latest outcomes in which failures are counted. */
+    private static final int WINDOW_OUTCOMES = 16;
 
-    /** Mean of the first time without requests, doubled with each half-open probe that fails. */
+    /** Mean of the first interval without requests, which doubles with each half-open probe that fails. */
     private static final long FIRST_EJECTION_US = 250_000;
 
-    /** Largest mean of that time. */
+    /** Largest mean of the interval without requests. */
     static final long MAX_EJECTION_US = 4_000_000;
 
-    private final ResultHistory results = new ResultHistory(WINDOW);
+    private final ResultHistory results = new ResultHistory(WINDOW_OUTCOMES);
     private final JitteredBackoff backoff = new JitteredBackoff(FIRST_EJECTION_US, MAX_EJECTION_US);
     private boolean ejected;
     private long halfOpenAtUs;
@@ -24,22 +24,22 @@
         return ejected;
     }
 
-    /** Whether the server is ejected and may get a half-open probe: a single request. */
+    /** Returns whether the server is ejected and may get a half-open probe, which is a single request. */
     boolean isHalfOpen(long nowUs) {
         return ejected && nowUs >= halfOpenAtUs;
     }
 
-    /** Whether the server has succeeded within the longest time of an ejection. */
-    boolean hasSucceededLately(long nowUs) {
+    /** Returns whether the last success is more recent than {@link #MAX_EJECTION_US}. */
+    boolean hasSucceededRecently(long nowUs) {
         return nowUs < lastSuccessAtUs + MAX_EJECTION_US;
     }
 
-    /** Failures among the latest outcomes. */
+    /** Returns the number of failures among the latest outcomes. */
     int failures() {
         return results.failures();
     }
 
-    /** Half-open probes that have succeeded in a row. */
+    /** Returns the number of half-open probes that have succeeded in a row. */
     int halfOpenSuccesses() {
         return halfOpenSuccesses;
     }
@@ -64,10 +64,10 @@
             backoff.reset();
             ejected = true;
         }
-        halfOpenAtUs = nowUs + backoff.next(random);
+        halfOpenAtUs = nowUs + backoff.nextDelayUs(random);
     }
 
-    /** Forgets the outcomes and ends an ejection. */
+    /** Discards the outcomes and ends an ejection. */
     void reset() {
         results.clear();
         ejected = false;
--- a/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
@@ -1,14 +1,15 @@
 package tansypass.balancer;
 
 /**
- * Estimates the time since a client's first try from the time that its request has left. The mode of the times left
- * of a class's requests is that of first tries; a request with less left is a later try.
+ * Estimates how long ago a client first tried a request, from the remaining time that the request states. The mode of
+ * the remaining times of a class is taken as the remaining time of first tries. A request with less remaining time is a
+ * later try.
  */
 final class ElapsedTimeEstimator {
-    /** Times left that differ by less than this share of the deadline are the same: delays on the way differ. */
+    /** Remaining times that differ by up to this share of the deadline are the same, because network delays vary. */
     private static final double TOLERANCE = 0.02;
 
-    /** Share of a class's requests from which a time left is that of first tries; under overload most are retries. */
+    /** Smallest share of a class's requests that are first tries: under overload most requests are retries. */
     private static final double MIN_SHARE = 0.2;
 
     private final BalancerSettings settings;
@@ -19,7 +20,7 @@
         firstTryRemainingUs = ModeEstimator.array(settings.classes().size(), ResponseStatistics.MEAN_GAIN, MIN_SHARE);
     }
 
-    /** Records a request; returns the time since its client's first try, 0 if it is the first. */
+    /** Records a request. Returns the time since the client's first try, 0 if this is the first try. */
     long recordRequest(BalancerRequest request) {
         long deadlineUs = settings.classes().get(request.classIndex()).deadlineUs();
         double toleranceUs = TOLERANCE * deadlineUs;
--- a/node/src/main/java/tansypass/balancer/EndpointSubscription.java
+++ b/node/src/main/java/tansypass/balancer/EndpointSubscription.java
@@ -2,9 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** Subscribes to changes of the endpoint list, where nodes must do so. Times are microseconds. */
+/** Subscribes to changes of the endpoint list if the settings require it. Times are microseconds. */
 final class EndpointSubscription {
-    /** Mean of the first backoff before a failed subscription is renewed, doubled each time. */
+    /** Mean of the first delay before a failed subscription is renewed; the mean doubles with each failure. */
     private static final long FIRST_BACKOFF_US = 250_000;
 
     private final boolean enabled;
@@ -22,12 +22,12 @@
         backoff = new JitteredBackoff(FIRST_BACKOFF_US, Math.max(1, settings.maxPollIntervalUs() / 4));
     }
 
-    /** When the subscription is to be renewed, {@link Long#MAX_VALUE} for never. */
+    /** Returns the time at which the subscription is due for renewal, {@link Long#MAX_VALUE} for never. */
     long dueAtUs() {
         return dueAtUs;
     }
 
-    /** A list has arrived: the one that the node had cached is the sign to subscribe. */
+    /** Handles the arrival of an endpoint list. The cached list comes first and triggers the subscription. */
     void onEndpointUpdate(UpdateKind kind, long nowUs) {
         if (!enabled) {
             return;
@@ -40,10 +40,10 @@
         }
     }
 
-    /** The subscription has failed. The backoff is jittered: nodes that fail together must not retry together. */
+    /** Handles a failed subscription. The backoff has a jitter: nodes that fail together must not retry together. */
     void onFailure(long nowUs) {
         if (enabled) {
-            dueAtUs = nowUs + backoff.next(random);
+            dueAtUs = nowUs + backoff.nextDelayUs(random);
         }
     }
 
--- a/node/src/main/java/tansypass/balancer/EndpointTable.java
+++ b/node/src/main/java/tansypass/balancer/EndpointTable.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** The servers on the endpoint list, and sums over those in use. */
+/** The servers on the endpoint list, and totals over the servers in use, which are ready and not ejected. */
 final class EndpointTable {
     private final ClusterSize clusterSize;
     private final SplittableRandom random;
@@ -27,7 +27,7 @@
         this.notifier = notifier;
     }
 
-    /** Takes over a change of the endpoint list. */
+    /** Applies an update of the endpoint list. */
     void update(UpdateKind kind, List<ServerEntry> entries, long nowUs) {
         if (kind != UpdateKind.DELTA) {
             listed.forEach(Server::markGone);
@@ -41,7 +41,7 @@
         if (ready.length == 0) {
             notifier.notifyNoServerReady(listed.size(), nowUs);
         }
-        // Servers come and go for as long as a node runs, so those that are gone and hold no request are removed.
+        // Servers come and go as long as a node runs: forget removed servers that have no attempt in flight.
         byId.values().removeIf(server -> server.isGone() && server.inFlight() == 0);
         recountInUse();
     }
@@ -54,49 +54,49 @@
             listed.add(server);
         }
         if (entry.startedAtUs() > server.startedAtUs()) {
-            // All nodes learn of a start at the same time, so a random budget keeps them from all sending at once.
+            // All nodes learn of a start at the same time. A random budget keeps them from sending all at once.
             double budget = random.nextDouble();
             server.restart(entry.startedAtUs(), clusterSize.nodes(), budget, nowUs);
         }
         server.update(entry);
     }
 
-    /** The server of this id, or null if there is none. */
+    /** Returns the server of this id, or null if there is none. */
     Server findOrNull(String id) {
         return byId.get(id);
     }
 
-    /** Number of servers on the list, draining ones included. */
+    /** Returns the number of servers on the list, including draining ones. */
     int listedCount() {
         return listed.size();
     }
 
-    /** The servers that are remembered: those on the list, and removed ones that hold a request. */
+    /** Returns all known servers: those on the list, and removed ones that still have attempts in flight. */
     Collection<Server> tracked() {
         return Collections.unmodifiableCollection(byId.values());
     }
 
-    /** The ready servers in list order, ejected ones included; not to be changed by the caller. */
+    /** Returns the ready servers in list order, including ejected ones. Callers must not change the array. */
     Server[] ready() {
         return ready;
     }
 
-    /** Number of ready servers that are ejected. */
+    /** Returns the number of ready servers that are ejected. */
     int ejectedCount() {
         return ejectedCount;
     }
 
-    /** Attempts in flight at the servers in use. */
+    /** Returns the number of attempts in flight at the servers in use. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Sum of the concurrency limits of the servers in use. */
+    /** Returns the sum of the concurrency limits of the servers in use. */
     double totalLimit() {
         return totalLimit;
     }
 
-    /** Changes the number of attempts in flight at a server. */
+    /** Adds {@code change} to the number of attempts in flight at a server. */
     void addInFlight(Server server, int change) {
         server.addInFlight(change);
         if (server.isInUse()) {
@@ -104,14 +104,14 @@
         }
     }
 
-    /** A server's limit has changed by so much. */
+    /** Adds a change of a server's concurrency limit to the total. */
     void addToTotalLimit(Server server, double change) {
         if (server.isInUse()) {
             totalLimit += change;
         }
     }
 
-    /** Sums up the servers in use. Requests stuck at an ejected or removed server do not count against the others. */
+    /** Recomputes the totals. Attempts that hang at an ejected or removed server do not use up the total limit. */
     void recountInUse() {
         totalLimit = 0;
         inFlight = 0;
--- a/node/src/main/java/tansypass/balancer/ErrorWeights.java
+++ b/node/src/main/java/tansypass/balancer/ErrorWeights.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
 /**
- * The selection weights of ServiceQ, ceil(E_m / (1 + e)): e is a server's count of errors, and E_m the largest
- * floor((1 + e)^1.5) of all ready servers.
+ * The selection weights of ServiceQ. A server's weight is ceil(E_m / (1 + e)), where e is the server's count of errors
+ * and E_m is the largest floor((1 + e)^1.5) of all ready servers.
  */
 final class ErrorWeights {
     private static final double EFFECT_EXPONENT = 1.5;
@@ -16,7 +16,7 @@
         stale = true;
     }
 
-    /** A success clears a server's errors. */
+    /** Clears the errors of a server after a success. */
     void clearErrors(Server server) {
         if (server.errors() > 0) {
             server.clearErrors();
@@ -24,17 +24,17 @@
         }
     }
 
-    /** The ready servers have changed. */
+    /** Records that the ready servers have changed. */
     void markStale() {
         stale = true;
     }
 
-    /** Whether errors or servers have changed since the last refresh. */
+    /** Returns whether errors or ready servers have changed since the last refresh. */
     boolean areStale() {
         return stale;
     }
 
-    /** Computes the largest effect anew. */
+    /** Recomputes the largest effect, which is E_m. */
     void refresh(Server[] ready) {
         int mostErrors = 0;
         for (Server server : ready) {
@@ -44,7 +44,9 @@
         stale = false;
     }
 
-    /** A server's weight. Departure from ServiceQ: it is multiplied by the server's capacity. */
+    /**
+     * Returns a server's selection weight. Departure from ServiceQ: the weight is multiplied by the server's capacity.
+     */
     double weight(Server server) {
         return server.capacityWeight() * Math.ceil(largestEffect / (1 + server.errors()));
     }
--- a/node/src/main/java/tansypass/balancer/Ewma.java
+++ b/node/src/main/java/tansypass/balancer/Ewma.java
@@ -6,10 +6,10 @@
     private double value;
 
     /**
-     * An average without values.
+     * Creates an average without values.
      *
      * @param gain share of a new value in the average, in (0, 1]
-     * @param initial the average before the first value
+     * @param initial average before the first value
      */
     Ewma(double gain, double initial) {
         this.gain = gain;
--- a/node/src/main/java/tansypass/balancer/ExpiringCounter.java
+++ b/node/src/main/java/tansypass/balancer/ExpiringCounter.java
@@ -1,19 +1,19 @@
 package tansypass.balancer;
 
-/** Counts items that all expire once the newest of them is too old. Times are microseconds of the caller's clock. */
+/** A count of items that expire together as soon as the newest is too old. Times are microseconds. */
 final class ExpiringCounter {
     private int count;
-    private long newestAt;
+    private long newestAtUs;
 
-    /** Whether an item is left and the newest one was added at {@code sinceUs} or later. */
+    /** Returns whether there is an item and the newest one was added at {@code sinceUs} or later. */
     boolean hasAny(long sinceUs) {
-        return count > 0 && newestAt >= sinceUs;
+        return count > 0 && newestAtUs >= sinceUs;
     }
 
-    /** Adds an item; all others expire if the newest of them was added before {@code sinceUs}. */
+    /** Adds an item. All others expire if the newest of them was added before {@code sinceUs}. */
     void add(long nowUs, long sinceUs) {
         count = hasAny(sinceUs) ? count + 1 : 1;
-        newestAt = nowUs;
+        newestAtUs = nowUs;
     }
 
     /** Removes an item if there is one. */
--- a/node/src/main/java/tansypass/balancer/Idempotency.java
+++ b/node/src/main/java/tansypass/balancer/Idempotency.java
@@ -1,11 +1,11 @@
 package tansypass.balancer;
 
-/** Whether a request may be executed more than once. */
+/** The rule for how often a request may be executed. */
 public enum Idempotency {
-    /** Any number of times. */
+    /** The request may be executed any number of times. */
     IDEMPOTENT,
-    /** Once for each idempotency key: the servers of a scope drop repeats within a window. */
+    /** The request may be repeated: the servers of a scope drop repeats of an idempotency key within a window. */
     KEYED,
-    /** Never. */
+    /** The request must not be executed more than once. */
     NON_IDEMPOTENT
 }
--- a/node/src/main/java/tansypass/balancer/InvalidSettingException.java
+++ b/node/src/main/java/tansypass/balancer/InvalidSettingException.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalInt;
 
-/** A balancer setting that is missing or out of range. */
+/** Thrown if a setting of the load balancer is missing or out of range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private static final int NO_CLASS = -1;
@@ -19,26 +19,27 @@
     }
 
     /**
-     * An exception whose message is the setting followed by the problem.
+     * Creates an exception whose message is the setting followed by the problem.
      *
      * @param component the setting, named as the component of {@link BalancerSettings}
-     * @param problem what is wrong with it, with its value, such as "is negative: -1"
+     * @param problem what is wrong with the setting, with its value, such as "is negative: -1"
      */
     InvalidSettingException(String component, String problem) {
         this(component, NO_CLASS, component, problem);
     }
 
     /**
-     * As above, for a setting of a request class.
+     * Creates an exception for a setting of a request class.
      *
      * @param classIndex index of the class in {@link BalancerSettings#classes}
      * @param component the setting, named as the component of {@link RequestClass}
+     * @param problem what is wrong with the setting, with its value
      */
     InvalidSettingException(int classIndex, String component, String problem) {
         this("classes[" + classIndex + "]." + component, classIndex, component, problem);
     }
 
-    /** Returns the index of the request class whose setting it is; empty if it is none of a class. */
+    /** Returns the index of the request class that the setting belongs to; empty if it belongs to no class. */
     public OptionalInt classIndex() {
         return classIndex == NO_CLASS ? OptionalInt.empty() : OptionalInt.of(classIndex);
     }
@@ -48,7 +49,7 @@
         return component;
     }
 
-    /** Returns what is wrong with it, with its value, such as "is negative: -1". */
+    /** Returns what is wrong with the setting, with its value, such as "is negative: -1". */
     public String problem() {
         return problem;
     }
--- a/node/src/main/java/tansypass/balancer/JitteredBackoff.java
+++ b/node/src/main/java/tansypass/balancer/JitteredBackoff.java
@@ -2,33 +2,33 @@
 
 import java.util.SplittableRandom;
 
-/** Delays that double up to a maximum, each with a jitter: between a half and one and a half of its length. */
+/** Exponential backoff with jitter. The mean delay doubles up to a maximum; a delay is 0.5 to 1.5 times its mean. */
 final class JitteredBackoff {
-    private final long firstUs;
-    private final long maxUs;
-    private long lengthUs;
+    private final long firstMeanUs;
+    private final long maxMeanUs;
+    private long meanUs;
 
     /**
-     * A backoff that starts with the first length.
+     * Creates a backoff.
      *
-     * @param firstUs first length in microseconds, above 0
-     * @param maxUs longest length after the first, above 0
+     * @param firstMeanUs mean of the first delay in microseconds, above 0
+     * @param maxMeanUs largest mean of the delays after the first, above 0
      */
-    JitteredBackoff(long firstUs, long maxUs) {
-        this.firstUs = firstUs;
-        this.maxUs = maxUs;
-        lengthUs = firstUs;
+    JitteredBackoff(long firstMeanUs, long maxMeanUs) {
+        this.firstMeanUs = firstMeanUs;
+        this.maxMeanUs = maxMeanUs;
+        meanUs = firstMeanUs;
     }
 
-    /** The next delay in microseconds. */
-    long next(SplittableRandom random) {
-        long delayUs = lengthUs / 2 + random.nextLong(lengthUs);
-        lengthUs = Math.min(2 * lengthUs, maxUs);
+    /** Returns the next delay in microseconds. */
+    long nextDelayUs(SplittableRandom random) {
+        long delayUs = meanUs / 2 + random.nextLong(meanUs);
+        meanUs = Math.min(2 * meanUs, maxMeanUs);
         return delayUs;
     }
 
-    /** Starts with the first length again. */
+    /** Starts again with the first delay. */
     void reset() {
-        lengthUs = firstUs;
+        meanUs = firstMeanUs;
     }
 }
--- a/node/src/main/java/tansypass/balancer/LoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancer.java
@@ -3,70 +3,75 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: the events that a proxy node reports (endpoint lists, requests, outcomes,
- * probes, timers) and the actions that the module asks for ({@link LoadBalancerActions}).
+ * The load balancer of one proxy node. The node reports each event by a method of this interface: endpoint lists,
+ * requests, outcomes, probes and timers. The load balancer responds by calls of {@link LoadBalancerActions}.
  *
- * <p>Times are microseconds of the caller's clock, which never goes backwards; lengths of time are
- * microseconds too. An instance serves one node, is single-threaded, never blocks and calls its
- * {@link LoadBalancerActions} only from within an event method. The same events and seed give the same actions.
+ * <p>Times are microseconds of the caller's clock, which never goes backwards; durations are microseconds too. An
+ * instance is single-threaded, never blocks and calls its {@link LoadBalancerActions} only from within an event method.
+ * The same events and seed give the same actions.
  */
 public interface LoadBalancer {
 
-    /** The endpoint list has changed; a server that is missing from a complete list is gone. */
+    /** Called when the endpoint list has changed. A server that is missing from a complete list is gone. */
     void onEndpointUpdate(long nowUs, UpdateKind kind, List<ServerEntry> entries);
 
-    /** A poll of the endpoint list failed, or the subscription broke; the old list stays in use. */
+    /** Called when a poll of the endpoint list or the subscription has failed. The old list stays in use. */
     void onDiscoveryFailure(long nowUs);
 
     /**
-     * A client's request; it is owed exactly one final response.
+     * Called when a client's request has arrived. The request gets exactly one final response.
      *
-     * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is still
-     * in flight
+     * @throws IllegalArgumentException if the request's class or tenant is not in the settings, or if a request with
+     *     the same id is still in flight
      */
     void onRequest(long nowUs, BalancerRequest request);
 
     /**
-     * A client's request whose long body is still being received. An attempt may start at once, since a server begins
-     * to work only with the last byte. Latency objective and deadline are as for {@link #onRequest} until then, and
-     * start again with {@link #onUploadCompleted}.
+     * Called instead of {@link #onRequest} when a client's request has arrived but its long body is still being
+     * received. An attempt may start at once, because a server begins to work only after the last byte. Latency
+     * objective and deadline start now, and start again with {@link #onUploadCompleted}.
      *
      * @throws IllegalArgumentException as for {@link #onRequest}
      */
     void onUploadStarted(long nowUs, BalancerRequest request);
 
-    /** The last byte of such a request has been received. Unknown ids are ignored. */
+    /** Called when the last byte of a request's long body has been received. Unknown ids are ignored. */
     void onUploadCompleted(long nowUs, long requestId);
 
-    /** Part of its body is no longer buffered: no further attempt can be sent. */
+    /** Called when part of a request's long body is no longer buffered: no further attempt can be sent. */
     void onBodyNotReplayable(long nowUs, long requestId);
 
-    /** How one attempt ended. Unknown attempts are ignored. */
+    /** Called when an attempt has ended. Unknown attempts are ignored. */
     void onOutcome(long nowUs, AttemptOutcome outcome);
 
-    /** A long or streamed response of an attempt has started; the attempt has no deadline from here on. */
+    /** Called when a long or streamed response has started. Its attempt has no deadline from now on. */
     void onResponseStarted(long nowUs, long requestId, int attempt);
 
-    /** The client has disconnected; no response is owed any more. Unknown ids are ignored. */
+    /** Called when a client has disconnected: its request needs no response any more. Unknown ids are ignored. */
     void onClientDisconnect(long nowUs, long requestId);
 
-    /** The result of a probe; {@code report} as in {@link AttemptOutcome}. Unknown probes are ignored. */
+    /**
+     * Called when a probe has ended. Unknown probes are ignored.
+     *
+     * @param report the server's load report in the order of {@link BalancerSettings#reportFields}, or null
+     */
     void onProbe(long nowUs, String serverId, AttemptResult result, long latencyUs, double[] report);
 
     /**
-     * How many nodes there are, this one included, in place of {@link BalancerSettings#nodes}.
+     * Called when the number of nodes has changed, which replaces {@link BalancerSettings#nodes}.
      *
-     * @param present nodes that serve clients; 0 if that is not known any more, so that the settings' number applies
-     * @param lost nodes that have become unreachable but may still serve clients
+     * @param present number of nodes that serve clients, including this one; 0 if the number is unknown, in which case
+     *     {@link BalancerSettings#nodes} applies again
+     * @param lost number of nodes that have become unreachable but may still serve clients
      */
     void onClusterSize(long nowUs, int present, int lost);
 
-    /** The timer of {@link LoadBalancerActions#scheduleTimer} is due. */
+    /** Called when the timer of {@link LoadBalancerActions#scheduleTimer} is due. */
     void onTimer(long nowUs);
 
-    /** Number of servers on the endpoint list, draining ones included. */
+    /** Returns the number of servers on the endpoint list, including draining ones. */
     int serverCount();
 
-    /** Number of servers on the list that get no ordinary requests, since they are draining or ejected. */
+    /** Returns the number of servers on the endpoint list that are draining or ejected. */
     int excludedServerCount();
 }
--- a/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
@@ -1,37 +1,37 @@
 package tansypass.balancer;
 
 /**
- * The actions that the load balancer asks of its node. They take effect in order, at the time of the event, and are
+ * The actions that the load balancer calls in its node. They take effect in order, at the time of the event, and are
  * called on the thread of the event method. Times are microseconds of the caller's clock.
  */
 public interface LoadBalancerActions extends ServerHealthListener {
     /**
-     * Starts the next attempt of a request; attempts are numbered 0, 1, 2 and so on.
+     * Starts the next attempt of a request. The attempts of a request are numbered from 0.
      *
-     * @param untilUs when the attempt times out; {@link Long#MAX_VALUE} for never
+     * @param timeoutAtUs time at which the attempt times out; {@link Long#MAX_VALUE} for never
      */
-    void send(long requestId, String serverId, long untilUs);
+    void send(long requestId, String serverId, long timeoutAtUs);
 
-    /** Sets when an attempt times out: for one that was sent without a deadline while its body was received. */
-    void setAttemptDeadline(long requestId, int attempt, long untilUs);
+    /** Sets the time at which an attempt times out that was sent without one, while its body was being received. */
+    void setAttemptDeadline(long requestId, int attempt, long timeoutAtUs);
 
-    /** Cancels an attempt; it still gets its outcome. */
+    /** Cancels an attempt. Its outcome is still reported. */
     void cancel(long requestId, int attempt);
 
     /**
-     * Gives the final response: rejected; a retry by the client is harmless.
+     * Rejects a request as its final response, which tells the client that a retry is safe.
      *
-     * @param retryAfterUs Retry-After, a length of time; 0 for none
+     * @param retryAfterUs Retry-After of the response, a duration; 0 for none
      */
     void reject(long requestId, long retryAfterUs);
 
-    /** Gives the final response: failed; the request may have been executed. */
+    /** Fails a request as its final response. The request may have been executed. */
     void fail(long requestId);
 
-    /** Asks for {@link LoadBalancer#onTimer} at this time or soon after; replaces a timer that is pending. */
+    /** Schedules a call of {@link LoadBalancer#onTimer} at this time or soon after, and replaces a pending timer. */
     void scheduleTimer(long atUs);
 
-    /** Sends a health check to a server; {@link LoadBalancer#onProbe} has its result. */
+    /** Sends a health check to a server. {@link LoadBalancer#onProbe} is called with the result. */
     void probe(String serverId);
 
     /** Subscribes to changes of the endpoint list. */
--- a/node/src/main/java/tansypass/balancer/LoadReportField.java
+++ b/node/src/main/java/tansypass/balancer/LoadReportField.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** Fields of a server's load report, by the unit in their names: milliseconds, or events a second. */
+/** Fields of a server's load report. The name has the unit: MS for milliseconds, PER_S for events per second. */
 public enum LoadReportField {
     IN_FLIGHT,
     QUEUED,
--- a/node/src/main/java/tansypass/balancer/MeanWithDriftingMinimum.java
+++ b/node/src/main/java/tansypass/balancer/MeanWithDriftingMinimum.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** A running mean and its minimum, which drifts upwards with each value so that it follows a change. */
+/** A running mean and its minimum. The minimum drifts upwards with each value, so that it follows a rising mean. */
 final class MeanWithDriftingMinimum {
     private final RunningMean mean;
     private final double drift;
@@ -10,11 +10,11 @@
     private double minimum;
 
     /**
-     * A mean without values.
+     * Creates a mean without values.
      *
      * @param gain smallest share of a new value in the mean, in (0, 1]
      * @param drift factor by which the minimum grows with each value, 1 or more
-     * @param minCount number of values from which the mean counts for the minimum
+     * @param minCount number of values from which on the mean is used for the minimum
      */
     MeanWithDriftingMinimum(double gain, double drift, int minCount) {
         mean = new RunningMean(gain, 0);
@@ -22,7 +22,7 @@
         this.minCount = minCount;
     }
 
-    /** Creates so many means with these parameters. */
+    /** Creates an array of means with these parameters. */
     static MeanWithDriftingMinimum[] array(int length, double gain, double drift, int minCount) {
         MeanWithDriftingMinimum[] means = new MeanWithDriftingMinimum[length];
         Arrays.setAll(means, i -> new MeanWithDriftingMinimum(gain, drift, minCount));
@@ -38,12 +38,12 @@
         }
     }
 
-    /** The mean, 0 before the first value. */
+    /** Returns the mean, 0 before the first value. */
     double mean() {
         return mean.value();
     }
 
-    /** The minimum: 0 before the first value, then {@link Double#MAX_VALUE} until there are enough values. */
+    /** Returns the minimum: 0 before the first value, then {@link Double#MAX_VALUE} until there are enough values. */
     double minimum() {
         return minimum;
     }
--- a/node/src/main/java/tansypass/balancer/ModeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ModeEstimator.java
@@ -2,40 +2,40 @@
 
 import java.util.Arrays;
 
-/** Estimates the mode of a series of values: the value that recurs, within a tolerance. */
+/** Estimates the mode of a series of values, which is the most frequent value within a tolerance. */
 final class ModeEstimator {
-    private final RunningMean share;
+    private final RunningMean matchingShare;
     private final double minShare;
     private long mode;
 
     /**
-     * An estimator without values.
+     * Creates an estimator without values.
      *
-     * @param gain smallest weight of a new value in the share of values that match the mode, in (0, 1]
-     * @param minShare share of matching values below which the next value that differs becomes the mode
+     * @param gain smallest weight of a new value in the share of matching values, in (0, 1]
+     * @param minShare share of values that match the mode, below which a value that differs becomes the new mode
      */
     ModeEstimator(double gain, double minShare) {
-        share = new RunningMean(gain, 0);
+        matchingShare = new RunningMean(gain, 0);
         this.minShare = minShare;
     }
 
-    /** Creates so many estimators with these parameters. */
+    /** Creates an array of estimators with these parameters. */
     static ModeEstimator[] array(int length, double gain, double minShare) {
         ModeEstimator[] estimators = new ModeEstimator[length];
         Arrays.setAll(estimators, i -> new ModeEstimator(gain, minShare));
         return estimators;
     }
 
-    /** Whether a value matches the mode. */
+    /** Returns whether a value matches the mode. */
     boolean isMode(long value, double tolerance) {
         return Math.abs(value - mode) <= tolerance;
     }
 
-    /** Records a value. */
+    /** Records a value, which may become the mode. */
     void record(long value, double tolerance) {
         boolean matches = isMode(value, tolerance);
-        share.add(matches ? 1 : 0);
-        if (!matches && share.value() < minShare) {
+        matchingShare.add(matches ? 1 : 0);
+        if (!matches && matchingShare.value() < minShare) {
             mode = value;
         }
     }
--- a/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
+++ b/node/src/main/java/tansypass/balancer/OutcomeRecorder.java
@@ -1,9 +1,12 @@
 package tansypass.balancer;
 
-/** Records the outcomes of attempts: what each says about its server, and about all servers. */
+/** Passes the outcome of each attempt to the classes that keep the state of its server and the overall statistics. */
 final class OutcomeRecorder {
-    /** A response within this multiple of its class's minimum latency is slow by its work, and counts as in time. */
-    private static final double MAX_BEST_LATENCY_MULTIPLE = 1.5;
+    /**
+     * A response within this multiple of its class's minimum latency counts as in time even if it misses its objective:
+     * it is slow because of the request's work, not because of congestion.
+     */
+    private static final double MAX_UNCONGESTED_LATENCY_MULTIPLE = 1.5;
 
     private final EndpointTable servers;
     private final ErrorWeights weights;
@@ -53,19 +56,19 @@
             }
             case CONNECT_FAILED, RESET -> recordFault(server, nowUs);
             default -> {
-                // Cancelled or not sent: nothing is learned of the server.
+                // A cancelled or unsent attempt says nothing about the server.
             }
         }
     }
 
-    /** A long response that was being relayed has ended; its start was recorded as the attempt's outcome. */
+    /** Records the end of a long response that was relayed; its start was recorded as the attempt's outcome. */
     void recordRelayEnd(Server server, AttemptResult result, long nowUs) {
         if (result == AttemptResult.RESET || result == AttemptResult.TIMEOUT) {
             ejection.recordFailure(server, nowUs);
         }
     }
 
-    /** A complete response leaves its connection open. */
+    /** Records whether the attempt's connection can be reused: a complete response leaves it open. */
     void recordConnection(Server server, AttemptResult result, long nowUs) {
         if (result == AttemptResult.OK || result == AttemptResult.ERROR || result == AttemptResult.OVERLOADED) {
             connections.recordReusable(server, nowUs);
@@ -84,14 +87,14 @@
     }
 
     private double responseValue(PendingRequest pending, long latencyUs, long nowUs) {
-        boolean slowByItsWork = latencyUs < MAX_BEST_LATENCY_MULTIPLE * responses.minLatencyUs(pending);
-        boolean inTime = nowUs <= pending.objectiveAtUs() || slowByItsWork;
+        boolean uncongested = latencyUs < MAX_UNCONGESTED_LATENCY_MULTIPLE * responses.minLatencyUs(pending);
+        boolean inTime = nowUs <= pending.objectiveAtUs() || uncongested;
         return inTime ? 1 : pending.requestClass().residualWeight();
     }
 
     private void recordTimeout(PendingRequest pending, Server server, long sentAtUs, long latencyUs, long nowUs) {
         if (server.hasRespondedSince(sentAtUs)) {
-            // The server works, but is overloaded: the limit is cut, and the server is not ejected.
+            // The server responds, but is overloaded: its limit is cut below, and it is not ejected.
             weights.addError(server);
         } else {
             ejection.recordFailure(server, nowUs);
--- a/node/src/main/java/tansypass/balancer/OutlierEjection.java
+++ b/node/src/main/java/tansypass/balancer/OutlierEjection.java
@@ -3,14 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Departure from ServiceQ, outlier ejection: a server that fails often gets only single half-open probes, further apart
- * each time one fails.
+ * Outlier ejection. A server that fails often gets only half-open probes, which are single requests. The interval
+ * between them grows with each probe that fails. This is a departure from ServiceQ.
  */
 final class OutlierEjection {
-    /** Failures among the latest outcomes at which a server is ejected. */
+    /** Number of failures among the latest outcomes at which a server is ejected. */
     private static final int MIN_FAILURES = 4;
 
-    /** Successes in a row that restore a server: one may be luck. */
+    /** Number of successes in a row that restore a server; a single one may be luck. */
     private static final int HALF_OPEN_SUCCESSES = 3;
 
     private final ClusterSize clusterSize;
@@ -32,7 +32,7 @@
         this.notifier = notifier;
     }
 
-    /** Counts a failure that is a sign of a fault, not of overload; it may eject the server. */
+    /** Records a failure that indicates a fault rather than overload, and may eject the server. */
     void recordFailure(Server server, long nowUs) {
         weights.addError(server);
         EjectionState state = server.ejection;
@@ -45,7 +45,10 @@
         }
     }
 
-    /** At most half of the servers are ejected: if most fail, the cause is elsewhere, and the weights are enough. */
+    /**
+     * Returns whether one more server can be ejected: at most half of the servers are. If most servers fail, the cause
+     * is elsewhere, and the selection weights are enough to deal with it.
+     */
     private boolean isEjectionAllowed() {
         return 2 * (servers.ejectedCount() + 1) <= servers.ready().length;
     }
@@ -55,7 +58,7 @@
         servers.recountInUse();
     }
 
-    /** Counts a success; it may restore an ejected server. */
+    /** Records a success, and may restore the server if it is ejected. */
     void recordSuccess(Server server, long nowUs) {
         EjectionState state = server.ejection;
         state.recordSuccess(nowUs);
--- a/node/src/main/java/tansypass/balancer/PendingRequest.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequest.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * A request that is owed a final response, or whose last attempt is still in flight. It has at most one attempt in
- * flight at a time. Times are microseconds of the caller's clock.
+ * A request that has no final response yet, or whose last attempt is still in flight. At most one of its attempts is
+ * in flight at a time. Times are microseconds of the caller's clock.
  */
 final class PendingRequest {
-    /** Where a request is on its way. */
+    /** Stages in the processing of a request. */
     private enum Phase {
-        /** It has arrived. */
+        /** The request has arrived. */
         ADMITTED,
-        /** Probes decide which server it is sent to. */
+        /** The request waits for probes, which decide the server that it is sent to. */
         AWAITING_PROBES,
-        /** It waits in the queue for a server with capacity. */
+        /** The request waits in the queue for a server with capacity. */
         QUEUED,
-        /** Its last attempt was sent. */
+        /** The latest attempt was sent. */
         SENT,
-        /** No response is owed any more. */
+        /** The request has its final response, or its client has disconnected. */
         COMPLETED
     }
 
-    /** How much of a response has been received. */
+    /** Stages in the receipt of a response. */
     private enum ResponsePhase {
         NOT_STARTED,
         STARTED,
-        /** A long response is being relayed: its attempt was recorded as successful, but may still break off. */
+        /** A long response is being relayed. Its attempt was recorded as successful, but may still fail. */
         RELAYING
     }
 
@@ -48,10 +48,10 @@
     private long probeDeadlineAtUs;
 
     /**
-     * A request that has just arrived.
+     * Creates a request that has just arrived.
      *
      * @param receivingBody whether its body is still being received
-     * @param elapsedUs time since its client's first try
+     * @param elapsedUs time since the client's first try of this request
      */
     PendingRequest(
             BalancerRequest request, BalancerSettings settings, boolean receivingBody, long elapsedUs, long nowUs) {
@@ -74,7 +74,7 @@
         return request.classIndex();
     }
 
-    /** Index of its tenant, or -1. */
+    /** Returns the index of the request's tenant, or -1 if it has none. */
     int tenant() {
         return request.tenant();
     }
@@ -87,17 +87,17 @@
         return requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
     }
 
-    /** Latency objective as a length of time, by its class and its own work. */
+    /** Returns the latency objective as a duration, which depends on the request's class and on its work. */
     long latencyObjectiveUs() {
         return latencyObjectiveUs;
     }
 
-    /** When it arrived, or the last byte of its body did. */
+    /** Returns the time at which the request arrived; the last byte of its body, if the body arrived later. */
     long arrivedAtUs() {
         return arrivedAtUs;
     }
 
-    /** When its latency objective ends. */
+    /** Returns the time at which the latency objective ends. */
     long objectiveAtUs() {
         return objectiveAtUs;
     }
@@ -110,7 +110,7 @@
         return receivingBody;
     }
 
-    /** Its body is complete: latency objective and deadline start again. */
+    /** Records that the body is complete. Latency objective and deadline start again from now. */
     void completeBody(long nowUs) {
         receivingBody = false;
         objectiveAtUs += nowUs - arrivedAtUs;
@@ -118,7 +118,7 @@
         arrivedAtUs = nowUs;
     }
 
-    /** Whether the whole body could still be sent in a further attempt. */
+    /** Returns whether a further attempt can send the whole body again. */
     boolean isBodyReplayable() {
         return bodyReplayable;
     }
@@ -131,7 +131,7 @@
         return attempts.size();
     }
 
-    /** Starts the next attempt. */
+    /** Adds the next attempt, which is sent now. */
     Attempt startAttempt(Server server, long nowUs) {
         Attempt attempt = new Attempt(attempts.size(), server, nowUs);
         attempts.add(attempt);
@@ -139,7 +139,7 @@
         return attempt;
     }
 
-    /** The attempt in flight, or null if there is none. */
+    /** Returns the attempt in flight, or null if there is none. */
     Attempt attemptInFlightOrNull() {
         if (attempts.isEmpty()) {
             return null;
@@ -148,13 +148,13 @@
         return last.isInFlight() ? last : null;
     }
 
-    /** The attempt of this number if it is in flight, or null. */
+    /** Returns the attempt of this number, or null if it is not in flight. */
     Attempt attemptInFlightOrNull(int number) {
         Attempt inFlight = attemptInFlightOrNull();
         return inFlight != null && inFlight.number() == number ? inFlight : null;
     }
 
-    /** The earliest attempt that a server may have executed, or null; retries and rejections depend on it. */
+    /** Returns the earliest attempt that a server may have executed, or null if there is none. */
     Attempt earliestPossiblyExecutedOrNull() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveExecuted()) {
@@ -164,7 +164,7 @@
         return null;
     }
 
-    /** Whether an attempt was sent to the server. */
+    /** Returns whether an attempt of this request was sent to the server. */
     boolean hasTried(Server server) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).server() == server) {
@@ -192,12 +192,12 @@
         responsePhase = ResponsePhase.RELAYING;
     }
 
-    /** Its class's priority weight, less if its tenant is beyond its quota. */
+    /** Returns the priority weight of the request's class, reduced if its tenant is over quota. */
     double priorityWeight() {
         return priorityWeight;
     }
 
-    /** Priority weight for each unit of work, by which the queue is ordered. */
+    /** Returns the priority weight per unit of work, by which the queue is ordered. */
     double priority() {
         return priority;
     }
@@ -207,12 +207,12 @@
         priority = weightPerWork;
     }
 
-    /** Whether its priority was lowered, since it is unlikely to meet its latency objective. */
+    /** Returns whether the priority was lowered because the request is unlikely to meet its latency objective. */
     boolean isPriorityLowered() {
         return priorityLowered;
     }
 
-    /** Lowers its priority by the residual weight of its class. */
+    /** Multiplies the priority by the residual weight of the request's class. */
     void lowerPriority() {
         priorityLowered = true;
         priority *= requestClass.residualWeight();
@@ -234,18 +234,18 @@
         return phase == Phase.AWAITING_PROBES;
     }
 
-    /** The request waits for so many probes, until the deadline at most. */
-    void awaitProbes(int probes, long deadlineUs) {
+    /** Records that the request waits for this number of probes, until {@code waitUntilUs} at the latest. */
+    void awaitProbes(int probeCount, long waitUntilUs) {
         phase = Phase.AWAITING_PROBES;
-        probesInFlight = probes;
-        probeDeadlineAtUs = deadlineUs;
+        probesInFlight = probeCount;
+        probeDeadlineAtUs = waitUntilUs;
     }
 
     long probeDeadlineAtUs() {
         return probeDeadlineAtUs;
     }
 
-    /** One of its probes has ended without a server for it. */
+    /** Records that a probe for this request has ended without a server that admits the request. */
     void recordProbeFailed() {
         probesInFlight--;
     }
@@ -258,12 +258,12 @@
         return phase == Phase.COMPLETED;
     }
 
-    /** No response is owed any more. */
+    /** Records that the request needs no response any more. */
     void complete() {
         phase = Phase.COMPLETED;
     }
 
-    /** Whether nothing is left to be done: no response is owed, and no attempt is in flight. */
+    /** Returns whether the request is completed and has no attempt in flight. */
     boolean isFinished() {
         return isCompleted() && attemptInFlightOrNull() == null;
     }
--- a/node/src/main/java/tansypass/balancer/PendingRequests.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are owed a final response or have an attempt in flight; gives the final responses. */
+/** The requests that have no final response yet or an attempt in flight. This class also sends final responses. */
 final class PendingRequests {
     private final BalancerSettings settings;
     private final LoadBalancerActions actions;
@@ -20,7 +20,7 @@
         return byId.containsKey(requestId);
     }
 
-    /** The request of this id, or null if there is none. */
+    /** Returns the request of this id, or null if there is none. */
     PendingRequest findOrNull(long requestId) {
         return byId.get(requestId);
     }
@@ -29,7 +29,7 @@
         byId.put(pending.id(), pending);
     }
 
-    /** Rule 1: gives the one final response, a rejection if a retry by the client is harmless, else a failure. */
+    /** Ends a request by a rejection if a retry by the client is safe, otherwise by a failure (rule 1). */
     void reject(PendingRequest pending, long nowUs) {
         if (rules.canReject(pending, nowUs)) {
             actions.reject(pending.id(), settings.maxRetryAfterUs());
@@ -39,7 +39,7 @@
         complete(pending);
     }
 
-    /** No response is owed any more: an attempt in flight is cancelled if that is allowed. */
+    /** Marks a request as completed, and cancels its attempt in flight if the settings allow it. */
     void complete(PendingRequest pending) {
         pending.complete();
         Attempt inFlight = pending.attemptInFlightOrNull();
@@ -49,7 +49,7 @@
         removeIfFinished(pending);
     }
 
-    /** Forgets a request that is complete and has no attempt in flight. */
+    /** Removes a request if it is completed and has no attempt in flight. */
     void removeIfFinished(PendingRequest pending) {
         if (pending.isFinished()) {
             byId.remove(pending.id());
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -4,20 +4,22 @@
 import java.util.PriorityQueue;
 
 /**
- * Departure from ServiceQ, probe-based selection: where nodes outnumber servers, two servers that are drawn get a
- * probe, and the request goes to the first that responds.
+ * Probe-based server selection, used if the cluster has more nodes than servers. Two servers are drawn and probed, and
+ * the request goes to the first one that responds. This is a departure from ServiceQ.
  */
 final class ProbeSelection {
-    /** A probe is waited for during this share of the mean latency of the request's class. */
+    /** Longest wait for probes, as a share of the mean latency of the request's class. */
     private static final double MAX_WAIT_SHARE = 0.25;
 
-    /** Share of late responses that probing is expected to prevent. */
-    private static final double EXPECTED_GAIN = 0.5;
+    /** Share of late responses that probes are expected to prevent. */
+    private static final double EXPECTED_PREVENTED_SHARE = 0.5;
 
-    /** Sum of failure rates above which a pair is not probed: a server that fails fast responds to probes fast too. */
-    private static final double MAX_FAILURE_RATE = 0.1;
+    /**
+     * Two servers are not probed above this sum of failure rates: a server that fails fast also answers probes fast.
+     */
+    private static final double MAX_FAILURE_RATE_SUM = 0.1;
 
-    /** Servers that are drawn and probed for a request. */
+    /** Number of servers that are drawn and probed for a request. */
     private static final int PROBES_PER_REQUEST = 2;
 
     private final BalancerSettings settings;
@@ -30,7 +32,7 @@
     private final ServerSelector selector;
     private final AttemptSender sender;
     private final AdmissionQueue queue;
-    private final PriorityQueue<PendingRequest> waiting =
+    private final PriorityQueue<PendingRequest> waitingRequests =
             new PriorityQueue<>(Comparator.comparingLong(PendingRequest::probeDeadlineAtUs));
 
     ProbeSelection(
@@ -56,7 +58,9 @@
         this.queue = queue;
     }
 
-    /** Probes two servers for a request if that is worth its price; returns whether the request waits for them. */
+    /**
+     * Probes two servers for a request if the probes are worth their price. Returns whether the request waits for them.
+     */
     boolean tryStart(PendingRequest pending, long nowUs) {
         double meanUs = responses.meanLatencyUs(pending);
         long waitUs = Math.max(3 * settings.tickUs(), (long) (MAX_WAIT_SHARE * meanUs));
@@ -78,26 +82,29 @@
             return false;
         }
         pending.awaitProbes(PROBES_PER_REQUEST, nowUs + waitUs);
-        waiting.add(pending);
+        waitingRequests.add(pending);
         probe(first, pending);
         probe(second, pending);
         return true;
     }
 
-    /** Whether probes are allowed, and nodes so many that what this node knows of a server is too old. */
+    /**
+     * Returns whether probes are allowed and useful. They are useful if nodes outnumber servers, since each node then
+     * sends to a server so rarely that its statistics of that server are outdated.
+     */
     private boolean isEnabled() {
         return settings.probes() && clusterSize.nodes() > servers.ready().length;
     }
 
     private boolean isTooExpensive(PendingRequest pending) {
-        double savings = queue.relativeWeight(pending) * responses.lateRatio() * EXPECTED_GAIN;
+        double savings = queue.relativeWeight(pending) * responses.lateRatio() * EXPECTED_PREVENTED_SHARE;
         return savings < PROBES_PER_REQUEST * settings.probePrice();
     }
 
     private static boolean canCompare(Server first, Server second) {
         return second != first
                 && first.inFlight() == second.inFlight()
-                && first.failureRate.value() + second.failureRate.value() <= MAX_FAILURE_RATE;
+                && first.failureRate.value() + second.failureRate.value() <= MAX_FAILURE_RATE_SUM;
     }
 
     private void probe(Server server, PendingRequest pending) {
@@ -108,24 +115,24 @@
         }
     }
 
-    /** The probe of a server has ended. */
+    /** Records the result of a server's probe, and sends or dispatches the requests that waited for it. */
     void onResult(Server server, AttemptResult result, long latencyUs, long nowUs) {
         boolean succeeded = result == AttemptResult.OK;
         if (succeeded) {
             latencies.recordProbe(server, latencyUs, nowUs);
         } else {
-            // A probe counts no error and ejects no server: a congested server drops probes and still serves.
+            // A failed probe is no error and does not eject: a congested server drops probes while it serves requests.
             latencies.record(server, ConcurrencyLimiter.CONGESTED_LATENCY_MULTIPLE, nowUs);
         }
         for (PendingRequest pending : server.probe.finish()) {
             if (pending.isAwaitingProbes()) {
-                resolve(pending, server, succeeded, nowUs);
+                onProbeEnded(pending, server, succeeded, nowUs);
             }
         }
     }
 
-    /** Sends a request that waits to a server whose probe has ended, or dispatches it if that was its last probe. */
-    private void resolve(PendingRequest pending, Server server, boolean succeeded, long nowUs) {
+    /** Sends a waiting request to a server whose probe has succeeded, or dispatches it if no probe is left. */
+    private void onProbeEnded(PendingRequest pending, Server server, boolean succeeded, long nowUs) {
         if (succeeded && admission.tryAdmit(pending, server, nowUs)) {
             sender.send(pending, server, nowUs);
             return;
@@ -136,19 +143,21 @@
         }
     }
 
-    /** Dispatches the requests whose probes have had no response in time. */
+    /** Dispatches the requests whose wait for probes has timed out. */
     void dispatchExpired(long nowUs) {
         while (nextDeadlineAtUs() <= nowUs) {
-            PendingRequest pending = waiting.poll();
+            PendingRequest pending = waitingRequests.poll();
             queue.dispatch(pending, nowUs);
         }
     }
 
-    /** The earliest deadline of the probes that are waited for, {@link Long#MAX_VALUE} for none. */
+    /** Returns the time at which the first waiting request times out, {@link Long#MAX_VALUE} if none waits. */
     long nextDeadlineAtUs() {
-        while (!waiting.isEmpty() && !waiting.peek().isAwaitingProbes()) {
-            waiting.poll();
+        while (!waitingRequests.isEmpty() && !waitingRequests.peek().isAwaitingProbes()) {
+            waitingRequests.poll();
         }
-        return waiting.isEmpty() ? Long.MAX_VALUE : waiting.peek().probeDeadlineAtUs();
+        return waitingRequests.isEmpty()
+                ? Long.MAX_VALUE
+                : waitingRequests.peek().probeDeadlineAtUs();
     }
 }
--- a/node/src/main/java/tansypass/balancer/RateLimitedHealthNotifier.java
+++ b/node/src/main/java/tansypass/balancer/RateLimitedHealthNotifier.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
-/** Notifies a listener of the servers' health, and drops notifications that follow another one too soon. */
+/** Notifies a listener of the servers' health. Notifications that follow another one too soon are dropped. */
 final class RateLimitedHealthNotifier {
-    /** Least time between two notifications. */
+    /** Shortest interval between two notifications. */
     private static final long MIN_INTERVAL_US = 1_000_000;
 
     private final ServerHealthListener listener;
@@ -12,9 +12,9 @@
         this.listener = listener;
     }
 
-    void notifyNoServerReady(int listed, long nowUs) {
+    void notifyNoServerReady(int listedServers, long nowUs) {
         if (tryNotify(nowUs)) {
-            listener.onNoServerReady(listed);
+            listener.onNoServerReady(listedServers);
         }
     }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Returns whether a notification is due; if so, the next one is due after the interval. */
+    /** Returns whether a notification is allowed now. If it is, the next one is allowed after the interval. */
     private boolean tryNotify(long nowUs) {
         if (nowUs < nextAtUs) {
             return false;
--- a/node/src/main/java/tansypass/balancer/RelativeLatencies.java
+++ b/node/src/main/java/tansypass/balancer/RelativeLatencies.java
@@ -1,20 +1,20 @@
 package tansypass.balancer;
 
-/** Recent latencies of the servers, as multiples of the mean latency of a request's class. */
+/** The servers' recent latencies, each as a multiple of the mean latency of the request's class. */
 final class RelativeLatencies {
     /** Share of a new value in a server's relative latency and failure rate. */
     static final double GAIN = 0.3;
 
-    /** A relative latency decays to 1/e in so many times the time in which this node uses each server once. */
+    /** Time in which a relative latency decays to 1/e, in rounds; in a round this node uses each server once. */
     private static final double DECAY_ROUNDS = 12;
 
-    /** Relative latency that a failure counts as, and a slow probe at most. */
+    /** Relative latency that is recorded for a failure; also the largest one that is recorded for a slow probe. */
     static final double FAILURE_LATENCY = 5;
 
-    /** What opening a connection adds to a relative latency: up to three round trips and the server's work. */
+    /** Relative latency of opening a connection, which takes up to three round trips and work of the server. */
     private static final double HANDSHAKE_LATENCY = 0.2;
 
-    /** Relative latencies that differ by less count as equal, so that a slow server is tried again in time. */
+    /** Relative latencies that differ by less than this count as equal, so that a slow server is used again in time. */
     private static final double TOLERANCE = 0.05;
 
     private final BalancerSettings settings;
@@ -34,12 +34,17 @@
         this.connections = connections;
     }
 
-    /** The expected latency of the first server less that of the second one, opening a connection included. */
+    /**
+     * Returns the expected relative latency of the first server minus the second's, each with the cost of connecting.
+     */
     double difference(Server first, Server second, long nowUs) {
-        return current(first, nowUs) + handshake(first, nowUs) - current(second, nowUs) - handshake(second, nowUs);
+        return currentLatency(first, nowUs)
+                + connectCost(first, nowUs)
+                - currentLatency(second, nowUs)
+                - connectCost(second, nowUs);
     }
 
-    /** Whether a difference is too small to tell two servers apart. */
+    /** Returns whether a difference is too small to prefer one of two servers. */
     static boolean isNegligible(double difference) {
         return Math.abs(difference) < TOLERANCE;
     }
@@ -50,11 +55,11 @@
         record(server, Math.min(FAILURE_LATENCY, latencyUs / probeLatencyUs.value()), nowUs);
     }
 
-    /** Records the latency of an attempt, if the usual one of its class is known. */
+    /** Records the latency of an attempt, unless the mean latency of its class is still unknown. */
     void recordResponse(PendingRequest pending, Server server, long latencyUs, long nowUs) {
-        double usualUs = responses.meanLatencyUs(pending);
-        if (usualUs > 0) {
-            record(server, latencyUs / usualUs, nowUs);
+        double meanUs = responses.meanLatencyUs(pending);
+        if (meanUs > 0) {
+            record(server, latencyUs / meanUs, nowUs);
         }
     }
 
@@ -63,12 +68,15 @@
         server.relativeLatency.add(relativeLatency, nowUs, DECAY_ROUNDS * roundIntervalUs());
     }
 
-    private double current(Server server, long nowUs) {
+    private double currentLatency(Server server, long nowUs) {
         return server.relativeLatency.value(nowUs, DECAY_ROUNDS * roundIntervalUs());
     }
 
-    /** The cost of opening a connection, shared by the requests that it will carry before it is idle for too long. */
-    private double handshake(Server server, long nowUs) {
+    /**
+     * Returns the relative latency of opening a connection, spread over the requests that reuse the connection before
+     * it has been idle for too long.
+     */
+    private double connectCost(Server server, long nowUs) {
         double cost = HANDSHAKE_LATENCY * Math.min(1, roundIntervalUs() / (settings.idleTimeoutUs() + 1));
         if (cost < TOLERANCE || connections.hasIdle(server, nowUs)) {
             return 0;
@@ -76,8 +84,8 @@
         return cost;
     }
 
-    /** The time in which this node uses each server once. */
+    /** Returns the duration of a round, in which this node uses each server once. */
     private double roundIntervalUs() {
-        return responses.meanGapUs() * Math.max(1, servers.ready().length);
+        return responses.meanIntervalUs() * Math.max(1, servers.ready().length);
     }
 }
--- a/node/src/main/java/tansypass/balancer/RequestClass.java
+++ b/node/src/main/java/tansypass/balancer/RequestClass.java
@@ -3,17 +3,17 @@
 /**
  * A class of requests.
  *
- * @param name for messages
- * @param latencyObjectiveUs responses within this time, in microseconds, have the full priority weight
- * @param objectiveStretch the latency objective is extended by this multiple of the request's own work, up to the
+ * @param name name of the class, used in messages
+ * @param latencyObjectiveUs time within which a response has the full priority weight, in microseconds
+ * @param objectiveStretch multiple of a request's own work by which its latency objective is extended, up to the
  *     deadline
  * @param deadlineUs time that a client waits over all of its tries, in microseconds
- * @param priorityWeight value of a response in time, relative to other classes; 0 or more
- * @param residualWeight share of that value, from 0 to 1, which a response after the objective still has
- * @param idempotency whether a request may be executed again
- * @param deduplicationScope for keyed classes: the servers among which repeats are dropped
- * @param deduplicationWindowUs for keyed classes: time for which they are, in microseconds from the first attempt
- *     that may have been executed
+ * @param priorityWeight value of a response in time, relative to that of other classes; 0 or more
+ * @param residualWeight share of that value that a response after the objective still has, from 0 to 1
+ * @param idempotency rule for how often a request may be executed
+ * @param deduplicationScope for keyed classes: the group of servers that drops repeats
+ * @param deduplicationWindowUs for keyed classes: time during which repeats are dropped, in microseconds from the first
+ *     attempt that may have been executed
  * @param stream whether responses are streamed
  */
 public record RequestClass(
--- a/node/src/main/java/tansypass/balancer/ResponseStatistics.java
+++ b/node/src/main/java/tansypass/balancer/ResponseStatistics.java
@@ -1,70 +1,72 @@
 package tansypass.balancer;
 
-/** Statistics of the responses of all servers: latencies by class, the time between two, the share that is late. */
+/** Statistics of the responses of all servers: latencies by class, response intervals, and the share of late ones. */
 final class ResponseStatistics {
-    /** Smallest share of a new value in a running mean: about the last 32 values count. */
+    /** Smallest share of a new value in a running mean, which then covers about the last 32 values. */
     static final double MEAN_GAIN = 1.0 / 32;
 
-    /** Time between two responses that a node assumes before its first one. */
-    private static final double INITIAL_GAP_US = 1_000_000;
+    /** Assumed interval between two responses, before the first one. */
+    private static final double INITIAL_INTERVAL_US = 1_000_000;
 
-    /** Factor by which a minimum latency grows with each response, so that it follows a change of the work. */
+    /** Factor by which a minimum latency grows with each response, so that it follows when requests need more work. */
     private static final double MIN_LATENCY_DRIFT = 1.0001;
 
-    /** The mean of fewer responses is chance and does not count as a minimum. */
+    /** Smallest number of responses whose mean is used for the minimum: the mean of fewer is mostly chance. */
     private static final int MIN_RESPONSES = 16;
 
-    private final RunningMean gapUs = new RunningMean(MEAN_GAIN, INITIAL_GAP_US);
-    private final RunningMean capacityGapUs = new RunningMean(MEAN_GAIN, 0);
+    private final RunningMean intervalUs = new RunningMean(MEAN_GAIN, INITIAL_INTERVAL_US);
+    private final RunningMean unitCapacityIntervalUs = new RunningMean(MEAN_GAIN, 0);
     private final Ewma lateRatio = new Ewma(MEAN_GAIN, 0);
     private final MeanWithDriftingMinimum[] latencyUs;
     private long lastResponseAtUs;
 
-    /** Statistics without responses, for so many classes of requests. */
+    /** Creates statistics without responses, for this number of request classes. */
     ResponseStatistics(int classes) {
         latencyUs = MeanWithDriftingMinimum.array(classes, MEAN_GAIN, MIN_LATENCY_DRIFT, MIN_RESPONSES);
     }
 
-    /** Mean latency of the request's class, 0 before the first response. */
+    /** Returns the mean latency of the request's class, 0 before the first response. */
     double meanLatencyUs(PendingRequest pending) {
         return latencyUs[pending.classIndex()].mean();
     }
 
     /**
-     * Minimum of the mean latency of the request's class, {@link Double#MAX_VALUE} until there are enough responses.
+     * Returns the minimum of the mean latency of the request's class: 0 before the first response, then
+     * {@link Double#MAX_VALUE} until there are enough responses.
      */
     double minLatencyUs(PendingRequest pending) {
         return latencyUs[pending.classIndex()].minimum();
     }
 
-    /** Number of responses. */
+    /** Returns the number of responses. */
     int count() {
-        return gapUs.count();
+        return intervalUs.count();
     }
 
-    /** Mean time between two responses. */
-    double meanGapUs() {
-        return gapUs.value();
+    /** Returns the mean time between two responses. */
+    double meanIntervalUs() {
+        return intervalUs.value();
     }
 
     /**
-     * Mean time between two responses, multiplied by the present capacity of all servers: the time in which a server
-     * of capacity 1 gives one response. It is never shorter than the time since the last response suggests.
+     * Returns the mean time between two responses, multiplied by the present capacity of all servers. This is the mean
+     * response interval of a server of capacity 1. The result grows with the time since the last response, for the case
+     * that responses become rare.
      */
-    double capacityGapUs(double presentCapacity, long nowUs) {
+    double unitCapacityIntervalUs(double presentCapacity, long nowUs) {
         if (count() == 0) {
-            return INITIAL_GAP_US * presentCapacity;
+            return INITIAL_INTERVAL_US * presentCapacity;
         }
         double waitedUs = MEAN_GAIN * (nowUs - lastResponseAtUs);
-        return Math.max(capacityGapUs.value(), waitedUs * presentCapacity);
+        return Math.max(unitCapacityIntervalUs.value(), waitedUs * presentCapacity);
     }
 
-    /** Share of attempts that failed or missed their latency objective. */
+    /** Returns the share of attempts that failed or missed their latency objective. */
     double lateRatio() {
         return lateRatio.value();
     }
 
-    /** The first gap begins with the first attempt, not with the caller's clock. */
+    /** Records that an attempt is sent. The first response interval begins with the first attempt. */
     void recordSend(long nowUs) {
         if (lastResponseAtUs == 0) {
             lastResponseAtUs = nowUs;
@@ -79,12 +81,12 @@
     /**
      * Records a response.
      *
-     * @param presentCapacity of all ready servers, in the unit of the list's weights
+     * @param presentCapacity capacity of all ready servers, in the unit of the endpoint list's weights
      */
     void recordResponse(PendingRequest pending, long responseLatencyUs, double presentCapacity, long nowUs) {
         latencyUs[pending.classIndex()].add((double) responseLatencyUs);
-        gapUs.add((double) (nowUs - lastResponseAtUs));
-        capacityGapUs.add((nowUs - lastResponseAtUs) * presentCapacity);
+        intervalUs.add((double) (nowUs - lastResponseAtUs));
+        unitCapacityIntervalUs.add((nowUs - lastResponseAtUs) * presentCapacity);
         lastResponseAtUs = nowUs;
     }
 }
--- a/node/src/main/java/tansypass/balancer/ResultHistory.java
+++ b/node/src/main/java/tansypass/balancer/ResultHistory.java
@@ -1,13 +1,13 @@
 package tansypass.balancer;
 
-/** A sliding window over results: which of the latest ones were failures. */
+/** A sliding window over the latest results, each of which is a success or a failure. */
 final class ResultHistory {
     private final int mask;
-    /** Newest result in the lowest bit; 1 is a failure. */
+    /** One bit per result, 1 for a failure; the newest result is the lowest bit. */
     private int bits;
 
     /**
-     * A history without results.
+     * Creates a history without results.
      *
      * @param window number of results in the window, from 1 to 31
      */
@@ -19,7 +19,7 @@
         bits = bits << 1 | (failure ? 1 : 0);
     }
 
-    /** Number of failures in the window. */
+    /** Returns the number of failures in the window. */
     int failures() {
         return Integer.bitCount(bits & mask);
     }
--- a/node/src/main/java/tansypass/balancer/RetryRules.java
+++ b/node/src/main/java/tansypass/balancer/RetryRules.java
@@ -1,6 +1,10 @@
 package tansypass.balancer;
 
-/** Rules 1 and 2: what may be sent again and where, for how long an attempt may run, and when to reject or fail. */
+/**
+ * The rules for retries, attempt timeouts and final responses: whether and where a request may be sent again, how long
+ * an attempt may run, and whether a request that is not served is rejected or fails. These are rules 1 and 2 of the
+ * protocol.
+ */
 final class RetryRules {
     private final BalancerSettings settings;
 
@@ -8,13 +12,13 @@
         this.settings = settings;
     }
 
-    /** Rule 2: whether a further attempt is allowed at some server. */
+    /** Returns whether a further attempt is allowed, at any server (rule 2). */
     boolean canRetry(PendingRequest pending, long nowUs) {
         if (pending.attemptCount() >= settings.maxAttempts()
                 || nowUs >= pending.deadlineAtUs()
                 || pending.hasResponseStarted()
                 || !pending.isBodyReplayable()
-                || hasNoValue(pending, nowUs)) {
+                || isWorthless(pending, nowUs)) {
             return false;
         }
         Attempt earliest = pending.earliestPossiblyExecutedOrNull();
@@ -28,14 +32,17 @@
         };
     }
 
-    /** Whether a repeat would reach its server within the window, even if it must open a connection first. */
+    /** Returns whether a retry would arrive within the deduplication window, even if it has to open a connection. */
     private boolean isWithinDeduplicationWindow(PendingRequest pending, long firstSentAtUs, long nowUs) {
         return nowUs + settings.connectTimeoutUs()
                 <= firstSentAtUs + pending.requestClass().deduplicationWindowUs();
     }
 
-    /** Rule 2: whether the server drops repeats of a keyed request that another one may have executed. */
-    boolean isInScope(PendingRequest pending, Server server) {
+    /**
+     * Returns whether deduplication allows a server for the next attempt (rule 2). A keyed request that another server
+     * may have executed can only be sent to a server that drops the repeat.
+     */
+    boolean isInDeduplicationScope(PendingRequest pending, Server server) {
         RequestClass requestClass = pending.requestClass();
         if (requestClass.idempotency() != Idempotency.KEYED) {
             return true;
@@ -51,35 +58,38 @@
         };
     }
 
-    /** Whether a response has no value any more, so that it is not worth a server's time. */
-    boolean hasNoValue(PendingRequest pending, long nowUs) {
+    /** Returns whether a response to the request would be worthless by now, and no server should work on it. */
+    boolean isWorthless(PendingRequest pending, long nowUs) {
         return pending.requestClass().residualWeight() == 0 && nowUs >= pending.objectiveAtUs();
     }
 
-    /** Rule 1: whether the final response is a rejection, which promises that a retry by the client is harmless. */
+    /**
+     * Returns whether the request may be rejected (rule 1). A rejection promises that a retry by the client is safe.
+     */
     boolean canReject(PendingRequest pending, long nowUs) {
         if (isRetriedAfterFailure(pending.requestClass())) {
             return true;
         }
-        // The client retries only after a rejection, so a request whose retry would have no value is not rejected.
-        return pending.earliestPossiblyExecutedOrNull() == null && !hasNoValue(pending, nowUs);
+        // This client retries only after a rejection: fail the request if a response to the retry would be worthless.
+        return pending.earliestPossiblyExecutedOrNull() == null && !isWorthless(pending, nowUs);
     }
 
     /**
-     * When an attempt times out. Departure from ServiceQ: at the latency objective, if a late response has no value
-     * and the client does not retry.
+     * Returns the time at which an attempt times out, which is normally the request's deadline. Departure from
+     * ServiceQ: it is the end of the latency objective if a late response is worthless and the client does not retry
+     * failures.
      */
     long attemptDeadlineUs(PendingRequest pending) {
         if (pending.isReceivingBody()) {
             return Long.MAX_VALUE;
         }
         RequestClass requestClass = pending.requestClass();
-        boolean mayRunLate =
+        boolean canRunLate =
                 requestClass.residualWeight() > 0 || requestClass.stream() || isRetriedAfterFailure(requestClass);
-        return mayRunLate ? pending.deadlineAtUs() : pending.objectiveAtUs();
+        return canRunLate ? pending.deadlineAtUs() : pending.objectiveAtUs();
     }
 
-    /** Whether clients retry after a failure too, and not only after a rejection. */
+    /** Returns whether clients retry requests of this class after a failure, and not only after a rejection. */
     private static boolean isRetriedAfterFailure(RequestClass requestClass) {
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
--- a/node/src/main/java/tansypass/balancer/RunningMean.java
+++ b/node/src/main/java/tansypass/balancer/RunningMean.java
@@ -1,34 +1,33 @@
 package tansypass.balancer;
 
-/** A running mean: the arithmetic mean of the first values, then an exponentially weighted moving average. */
+/** A running mean, which is the arithmetic mean of the first values and then an exponentially weighted one. */
 final class RunningMean {
     private final double gain;
     private double value;
     private int count;
 
     /**
-     * A mean without values.
+     * Creates a mean without values.
      *
      * @param gain smallest share of a new value in the mean, in (0, 1]
-     * @param initial the mean until the first value
+     * @param initial mean before the first value
      */
     RunningMean(double gain, double initial) {
         this.gain = gain;
         value = initial;
     }
 
-    /** Adds a value; the first one replaces the initial mean. */
+    /** Adds a value. The first value replaces the initial mean. */
     void add(double next) {
         count++;
         value += Math.max(gain, 1.0 / count) * (next - value);
     }
 
-    /** The mean. */
     double value() {
         return value;
     }
 
-    /** Number of values added. */
+    /** Returns the number of values added. */
     int count() {
         return count;
     }
--- a/node/src/main/java/tansypass/balancer/Server.java
+++ b/node/src/main/java/tansypass/balancer/Server.java
@@ -1,13 +1,13 @@
 package tansypass.balancer;
 
 /**
- * One server as this node knows it: its entry on the endpoint list, which {@link EndpointTable} sets, its count of
- * errors, which {@link ErrorWeights} keeps, its attempts in flight, which {@link EndpointTable} counts, and the state
- * of the parts of the load balancer. Only the owner of a state changes it, but for {@link #restart} and {@link
- * #resetHealth}. Times are microseconds of the caller's clock.
+ * A node's view of one server. {@link EndpointTable} sets the entry of the endpoint list and counts the attempts in
+ * flight; {@link ErrorWeights} counts the errors. Each of the other fields has one owner, which is named at the field.
+ * Only the owner changes a field, except in {@link #restart} and {@link #resetHealth}. Times are microseconds of the
+ * caller's clock.
  */
 final class Server {
-    /** Power of the listed weight: busy to the same degree, a large server still responds sooner than a small one. */
+    /** Exponent above 1, because a large server responds sooner than a small one at the same utilisation. */
     private static final double CAPACITY_EXPONENT = 1.5;
 
     /** Owned by {@link OutlierEjection}. */
@@ -28,7 +28,7 @@
     /** Owned by {@link ConnectionTracker}. */
     final ExpiringCounter idleConnections = new ExpiringCounter();
 
-    /** Owned by {@link OutcomeRecorder}: share of failed responses, without timeouts and overload. */
+    /** Owned by {@link OutcomeRecorder}: share of failed attempts, without timeouts and overload. */
     final Ewma failureRate = new Ewma(RelativeLatencies.GAIN, 0);
 
     private final String id;
@@ -43,13 +43,13 @@
     private int inFlight;
     private long lastResponseAtUs;
 
-    /** A server that has just appeared on the list, shared by so many nodes. */
+    /** Creates a server that has just appeared on the endpoint list and is shared by this number of nodes. */
     Server(String id, int nodes) {
         this.id = id;
         limit = new ConcurrencyLimit(nodes);
     }
 
-    /** Takes over an entry of the endpoint list. */
+    /** Applies an entry of the endpoint list. */
     void update(ServerEntry entry) {
         state = entry.state();
         zone = entry.zone();
@@ -58,16 +58,16 @@
         capacityWeight = Math.pow(listedWeight, CAPACITY_EXPONENT);
     }
 
-    /** The server is not on the list any more. */
+    /** Records that the server has been removed from the endpoint list. */
     void markGone() {
         state = ServerState.GONE;
     }
 
     /**
-     * The server has started anew: what was recorded of its last process does not hold for this one.
+     * Records that the server has restarted, and discards what was recorded of its previous process.
      *
      * @param nodes number of nodes that share the server
-     * @param slowStartRequests its first slow-start budget
+     * @param slowStartRequests initial slow-start budget, in requests
      */
     void restart(long restartedAtUs, int nodes, double slowStartRequests, long nowUs) {
         startedAtUs = restartedAtUs;
@@ -75,7 +75,7 @@
         slowStart.start(slowStartRequests, nowUs);
     }
 
-    /** Forgets the server's failures and ejection, and gives it the limit of a new one. */
+    /** Discards the server's failures and ejection, and resets its limit to that of a new server. */
     void resetHealth(int nodes) {
         errors = 0;
         ejection.reset();
@@ -102,27 +102,27 @@
         return state == ServerState.GONE;
     }
 
-    /** Whether the server gets ordinary requests. */
+    /** Returns whether the server is ready and not ejected. */
     boolean isInUse() {
         return isReady() && !ejection.isEjected();
     }
 
-    /** When the server last started; 0 if long ago. */
+    /** Returns the time of the server's last start; 0 if the server has long been running. */
     long startedAtUs() {
         return startedAtUs;
     }
 
-    /** Capacity by the endpoint list, relative to that of other servers. */
+    /** Returns the server's weight on the endpoint list: its capacity relative to that of other servers. */
     double listedWeight() {
         return listedWeight;
     }
 
-    /** The factor of the server's capacity in its selection weight. */
+    /** Returns the factor by which the server's capacity multiplies its selection weight. */
     double capacityWeight() {
         return capacityWeight;
     }
 
-    /** Index among the ready servers. */
+    /** Returns the server's index among the ready servers. */
     int position() {
         return position;
     }
@@ -131,7 +131,7 @@
         this.position = position;
     }
 
-    /** Failures since the last success: the error count of ServiceQ. */
+    /** Returns the number of failures since the last success, which is the error count of ServiceQ. */
     int errors() {
         return errors;
     }
@@ -144,7 +144,7 @@
         errors = 0;
     }
 
-    /** This node's attempts in flight at the server. */
+    /** Returns the number of this node's attempts in flight at the server. */
     int inFlight() {
         return inFlight;
     }
@@ -157,7 +157,7 @@
         lastResponseAtUs = nowUs;
     }
 
-    /** Whether a response has arrived from the server at this time or later. */
+    /** Returns whether a response has arrived from the server at {@code sinceUs} or later. */
     boolean hasRespondedSince(long sinceUs) {
         return lastResponseAtUs >= sinceUs;
     }
--- a/node/src/main/java/tansypass/balancer/ServerAdmission.java
+++ b/node/src/main/java/tansypass/balancer/ServerAdmission.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** Decides whether a request may be sent to a server now, under all rules and limits. */
+/** Decides whether a request may be sent to a server now, by all rules and limits. */
 final class ServerAdmission {
     private final SlowStart slowStart;
     private final ConcurrencyLimiter limiter;
@@ -15,8 +15,8 @@
     }
 
     /**
-     * Returns whether a request may be sent to a server. Records a limit that was reached, and refills the budget of a
-     * server that is warming up.
+     * Returns whether a request may be sent to a server. If a limit has been reached, this is recorded at the server;
+     * if the server is warming up, its slow-start budget is refilled.
      */
     boolean tryAdmit(PendingRequest pending, Server server, long nowUs) {
         if (server.ejection.isEjected() || throttle.isThrottling()) {
@@ -26,15 +26,15 @@
             limiter.recordLimitReached(server, nowUs);
             return false;
         }
-        return tryAdmitUnlimited(pending, server, nowUs);
+        return tryAdmitIgnoringLimits(pending, server, nowUs);
     }
 
-    /** As {@link #tryAdmit}, whatever the server's ejection and the limits: for servers that are ejected. */
-    boolean tryAdmitUnlimited(PendingRequest pending, Server server, long nowUs) {
+    /** Does the same as {@link #tryAdmit} but ignores ejection and limits: for requests to ejected servers. */
+    boolean tryAdmitIgnoringLimits(PendingRequest pending, Server server, long nowUs) {
         if (!server.isReady()) {
             return false;
         }
         slowStart.refillBudget(server, nowUs);
-        return slowStart.isWithinBudget(server, nowUs) && rules.isInScope(pending, server);
+        return slowStart.isWithinBudget(server, nowUs) && rules.isInDeduplicationScope(pending, server);
     }
 }
--- a/node/src/main/java/tansypass/balancer/ServerHealthListener.java
+++ b/node/src/main/java/tansypass/balancer/ServerHealthListener.java
@@ -1,24 +1,24 @@
 package tansypass.balancer;
 
 /**
- * Is notified of what operators should know of the servers. After a notification, others are dropped for a second.
- * Calls come on the thread of the event method.
+ * Receives notifications about the servers' health that matter to operators. For one second after a notification,
+ * further ones are dropped. The methods are called on the thread of the event method.
  */
 public interface ServerHealthListener {
     /**
-     * An update of the endpoint list has left no server that is ready; requests are queued.
+     * Called when an update of the endpoint list contains no ready server. Requests are queued.
      *
-     * @param listed number of servers on the list
+     * @param listedServers number of servers on the list
      */
-    void onNoServerReady(int listed);
+    void onNoServerReady(int listedServers);
 
     /**
-     * A server is ejected: it gets single half-open probes until several in a row succeed.
+     * Called when a server is ejected. The server gets only half-open probes until several of them in a row succeed.
      *
-     * @param failures number of failures among its latest outcomes
+     * @param failures number of failures among the server's latest outcomes
      */
     void onServerEjected(String serverId, int failures);
 
-    /** An ejected server gets ordinary requests again. */
+    /** Called when an ejected server is restored and gets ordinary requests again. */
     void onServerRestored(String serverId);
 }
--- a/node/src/main/java/tansypass/balancer/ServerProbe.java
+++ b/node/src/main/java/tansypass/balancer/ServerProbe.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The probe of one server that is in flight, if there is one, and the requests that wait for its result. */
+/** The state of one server's probe, and the requests that wait for the probe's result. */
 final class ServerProbe {
     private final List<PendingRequest> waiters = new ArrayList<>();
     private boolean inFlight;
@@ -14,7 +14,7 @@
 
     /** Adds a request that waits for the result. */
     void addWaiter(PendingRequest pending) {
-        // Requests that were sent in the meantime must not pile up should the result never arrive.
+        // Remove requests that no longer wait: they would accumulate if the result never arrived.
         waiters.removeIf(waiter -> !waiter.isAwaitingProbes());
         waiters.add(pending);
     }
@@ -26,8 +26,8 @@
     /** Ends the probe and returns the requests that waited for its result. */
     List<PendingRequest> finish() {
         inFlight = false;
-        List<PendingRequest> waited = new ArrayList<>(waiters);
+        List<PendingRequest> finishedWaiters = new ArrayList<>(waiters);
         waiters.clear();
-        return waited;
+        return finishedWaiters;
     }
 }
--- a/node/src/main/java/tansypass/balancer/ServerSelector.java
+++ b/node/src/main/java/tansypass/balancer/ServerSelector.java
@@ -4,14 +4,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects servers: two draws by ServiceQ's weights for a first attempt, list order for a retry. All methods that return
- * a server return null if there is none, since they are called for each request.
+ * Selects a server for each attempt. A first attempt goes to one of two servers that are drawn by ServiceQ's weights; a
+ * retry goes to the next server in list order. Methods return null rather than an {@code Optional} if no server admits
+ * the request, because they are called for each request.
  */
 final class ServerSelector {
-    /** How often a server that may not be sent to is drawn again before all are looked through. */
+    /** Number of repeated draws, each after a draw of a server that is not admitted, before all servers are checked. */
     private static final int MAX_REDRAWS = 3;
 
-    /** From so many attempts in flight on, a local server competes with other zones; they win with fewer by as many. */
+    /**
+     * Number of attempts in flight at a local server from which servers of other zones are considered. A server of
+     * another zone is then selected if it has fewer attempts in flight by at least this number.
+     */
     private static final int SPILLOVER_IN_FLIGHT = 2;
 
     private final BalancerSettings settings;
@@ -20,9 +24,9 @@
     private final RelativeLatencies latencies;
     private final ServerAdmission admission;
     private final SplittableRandom random;
-    private WeightedSampler<Server, PendingRequest> all;
-    /** The servers of this node's own zone; the same as all where crossing zones is free. */
-    private WeightedSampler<Server, PendingRequest> local;
+    private WeightedSampler<Server, PendingRequest> allServers;
+    /** The servers of this node's own zone; the same object as {@code allServers} if crossing zones is free. */
+    private WeightedSampler<Server, PendingRequest> localServers;
 
     ServerSelector(
             BalancerSettings settings,
@@ -37,29 +41,29 @@
         this.latencies = latencies;
         this.admission = admission;
         this.random = random;
-        all = createSampler(servers.ready());
-        local = all;
+        allServers = createSampler(servers.ready());
+        localServers = allServers;
     }
 
-    /** Takes over the ready servers. */
+    /** Replaces the servers to select from by the servers that are ready now. */
     void onEndpointUpdate() {
         Server[] ready = servers.ready();
-        all = createSampler(ready);
-        local = settings.crossZonePrice() == 0
-                ? all
+        allServers = createSampler(ready);
+        localServers = settings.crossZonePrice() == 0
+                ? allServers
                 : createSampler(Arrays.stream(ready).filter(this::isLocal).toArray(Server[]::new));
         weights.markStale();
     }
 
-    private WeightedSampler<Server, PendingRequest> createSampler(Server[] from) {
-        return new WeightedSampler<>(from, weights::weight, admission::tryAdmit);
+    private WeightedSampler<Server, PendingRequest> createSampler(Server[] candidates) {
+        return new WeightedSampler<>(candidates, weights::weight, admission::tryAdmit);
     }
 
     private boolean isLocal(Server server) {
         return server.zone() == settings.localZone();
     }
 
-    /** Selects a server for a request: a half-open one, one of two drawn, or an ejected one if there is no other. */
+    /** Selects a half-open server if there is one, otherwise one of two drawn servers, otherwise an ejected server. */
     Server selectOrNull(PendingRequest pending, long nowUs) {
         Server halfOpen = halfOpenServerOrNull(pending, nowUs);
         if (halfOpen != null) {
@@ -72,7 +76,7 @@
         return lastResortOrNull(pending, nowUs);
     }
 
-    /** Selects the next server in list order for a failed request, one without errors if there is one. */
+    /** Selects the next server in list order after the failed one; servers without errors are preferred. */
     Server selectNextOrNull(PendingRequest pending, Server failed, long nowUs) {
         Server preferred = nextInListOrderOrNull(pending, failed, true, nowUs);
         return preferred != null ? preferred : nextInListOrderOrNull(pending, failed, false, nowUs);
@@ -82,34 +86,36 @@
         Server[] ready = servers.ready();
         for (int i = 1; i <= ready.length; i++) {
             Server next = ready[(failed.position() + i) % ready.length];
-            boolean considered = !preferredOnly || isPreferredForRetry(next);
-            if (considered && !pending.hasTried(next) && admission.tryAdmit(pending, next, nowUs)) {
+            boolean eligible = !preferredOnly || isPreferredForRetry(next);
+            if (eligible && !pending.hasTried(next) && admission.tryAdmit(pending, next, nowUs)) {
                 return next;
             }
         }
         return null;
     }
 
-    /** Departure from ServiceQ: servers of the own zone come first where crossing zones has a price. */
+    /** Departure from ServiceQ: servers of this node's zone are preferred if crossing zones has a price. */
     private boolean isPreferredForRetry(Server server) {
-        return server.errors() == 0 && (local == all || isLocal(server));
+        return server.errors() == 0 && (localServers == allServers || isLocal(server));
     }
 
-    /** Returns an ejected server that is due for a half-open probe: a single request. */
+    /** Returns an ejected server that is due for a half-open probe, which is a single request. */
     Server halfOpenServerOrNull(PendingRequest pending, long nowUs) {
         if (!mayTryEjected(pending)) {
             return null;
         }
         for (Server server : servers.ready()) {
-            boolean halfOpen = server.ejection.isHalfOpen(nowUs) && server.inFlight() == 0;
-            if (halfOpen && admission.tryAdmitUnlimited(pending, server, nowUs)) {
+            boolean canProbe = server.ejection.isHalfOpen(nowUs) && server.inFlight() == 0;
+            if (canProbe && admission.tryAdmitIgnoringLimits(pending, server, nowUs)) {
                 return server;
             }
         }
         return null;
     }
 
-    /** Returns the ejected server with the fewest failures: in an overloaded cluster its capacity is needed. */
+    /**
+     * Returns the ejected server with the fewest failures: an overloaded cluster needs the capacity of these servers.
+     */
     private Server lastResortOrNull(PendingRequest pending, long nowUs) {
         if (!mayTryEjected(pending)) {
             return null;
@@ -117,7 +123,7 @@
         Server best = null;
         for (Server server : servers.ready()) {
             if (isLastResort(server, nowUs)
-                    && admission.tryAdmitUnlimited(pending, server, nowUs)
+                    && admission.tryAdmitIgnoringLimits(pending, server, nowUs)
                     && (best == null || server.ejection.failures() < best.ejection.failures())) {
                 best = server;
             }
@@ -127,7 +133,7 @@
 
     private static boolean isLastResort(Server server, long nowUs) {
         return server.ejection.isEjected()
-                && server.ejection.hasSucceededLately(nowUs)
+                && server.ejection.hasSucceededRecently(nowUs)
                 && !server.limit.isReached(server.inFlight());
     }
 
@@ -136,19 +142,20 @@
     }
 
     /**
-     * Draws two servers and returns the better one. Departure from ServiceQ: where crossing zones has a price, both are
-     * of the own zone, and two more are drawn from all servers if that choice is crowded or fails.
+     * Draws two servers and returns the better one. Departure from ServiceQ: if crossing zones has a price, both are
+     * drawn from this node's zone. If the better one of these is busy or has errors, or there is none, two more are
+     * drawn from all servers.
      */
     Server drawByZoneOrNull(PendingRequest pending, long nowUs) {
-        Server localChoice = drawTwoOrNull(pending, local, nowUs);
-        if (local == all || isUncrowded(localChoice)) {
+        Server localChoice = drawTwoOrNull(pending, localServers, nowUs);
+        if (localServers == allServers || isUncrowded(localChoice)) {
             return localChoice;
         }
-        Server other = drawTwoOrNull(pending, all, nowUs);
+        Server anyZoneChoice = drawTwoOrNull(pending, allServers, nowUs);
         if (localChoice == null) {
-            return other;
+            return anyZoneChoice;
         }
-        return other != null && isWorthCrossing(other, localChoice) ? other : localChoice;
+        return anyZoneChoice != null && isWorthCrossing(anyZoneChoice, localChoice) ? anyZoneChoice : localChoice;
     }
 
     private static boolean isUncrowded(Server server) {
@@ -159,13 +166,13 @@
         return other.inFlight() + SPILLOVER_IN_FLIGHT <= local.inFlight() || other.errors() < local.errors();
     }
 
-    private Server drawTwoOrNull(PendingRequest pending, WeightedSampler<Server, PendingRequest> from, long nowUs) {
+    private Server drawTwoOrNull(PendingRequest pending, WeightedSampler<Server, PendingRequest> sampler, long nowUs) {
         updateWeights();
-        Server first = from.drawOrNull(random, MAX_REDRAWS, pending, null, nowUs);
+        Server first = sampler.drawOrNull(random, MAX_REDRAWS, pending, null, nowUs);
         if (first == null) {
             return null;
         }
-        Server second = from.drawOrNull(random, MAX_REDRAWS, pending, first, nowUs);
+        Server second = sampler.drawOrNull(random, MAX_REDRAWS, pending, first, nowUs);
         if (second == null) {
             return first;
         }
@@ -176,8 +183,9 @@
     }
 
     /**
-     * Departure from ServiceQ, ties: the server that was faster lately wins. A node among many has nothing in flight at
-     * nearly all servers, so that nearly all choices are ties.
+     * Selects one of two servers with equally many attempts in flight. Departure from ServiceQ: the server with the
+     * lower recent latency is selected. In a large cluster a node has no attempt in flight at most of the servers, and
+     * most choices are such ties.
      */
     private Server breakTie(Server first, Server second, long nowUs) {
         double difference = latencies.difference(first, second, nowUs);
@@ -190,8 +198,8 @@
     private void updateWeights() {
         if (weights.areStale()) {
             weights.refresh(servers.ready());
-            all.update();
-            local.update();
+            allServers.update();
+            localServers.update();
         }
     }
 }
--- a/node/src/main/java/tansypass/balancer/ServerState.java
+++ b/node/src/main/java/tansypass/balancer/ServerState.java
@@ -1,11 +1,11 @@
 package tansypass.balancer;
 
-/** State of a server on the endpoint list. */
+/** The state of a server on the endpoint list. */
 public enum ServerState {
-    /** Accepts requests. */
+    /** The server accepts requests. */
     READY,
-    /** Completes its requests in flight and accepts no more. */
+    /** The server completes its requests in flight and accepts no new ones. */
     DRAINING,
-    /** Removed from the list. */
+    /** The server has been removed from the list. */
     GONE
 }
--- a/node/src/main/java/tansypass/balancer/SlowStart.java
+++ b/node/src/main/java/tansypass/balancer/SlowStart.java
@@ -1,14 +1,14 @@
 package tansypass.balancer;
 
 /**
- * Departure from ServiceQ, slow start (rule 4): a server that is warming up gets a share of the requests by its present
- * capacity, relative to the rate of responses of all servers.
+ * Slow start (rule 4). A server that is warming up may get requests at a limited rate, which is the response rate of
+ * all servers times the server's share of their present capacity, times a factor. This is a departure from ServiceQ.
  */
 final class SlowStart {
-    /** Part of the settings' overload window for which a budget may be saved up. */
-    private static final double MAX_SAVED_WINDOW = 0.25;
+    /** Largest budget that can be saved up, as a share of the settings' overload window. */
+    private static final double MAX_SAVED_WINDOW_SHARE = 0.25;
 
-    /** How long the sum of present capacities is kept: a server warms up in seconds. */
+    /** Time for which the sum of present capacities is cached: short compared to a warm-up, which takes seconds. */
     private static final long CAPACITY_TTL_US = 100_000;
 
     private final BalancerSettings settings;
@@ -31,7 +31,7 @@
         return server.startedAtUs() > 0 && nowUs < server.startedAtUs() + settings.slowStartUs();
     }
 
-    /** Whether the budget of a server, as last refilled, allows a request; always if it is not warming up. */
+    /** Returns whether a server's budget, as of its last refill, allows a request; true if it is not warming up. */
     boolean isWithinBudget(Server server, long nowUs) {
         return !isWarmingUp(server, nowUs) || server.slowStart.requests() >= 1;
     }
@@ -43,23 +43,26 @@
         }
     }
 
-    /** Brings the budget of a server that is warming up to the present. */
+    /** Refills the budget of a server that is warming up. */
     void refillBudget(Server server, long nowUs) {
         if (isWarmingUp(server, nowUs)) {
             refill(server, nowUs);
         }
     }
 
-    /** Adds half of the permitted multiple of the server's share for each gap between responses. */
+    /**
+     * Refills a server's budget for the time since the last refill. The rate is the server's share of the response rate
+     * times half of the overload multiple, but not less than that share.
+     */
     private void refill(Server server, long nowUs) {
-        double unitGapUs = responses.capacityGapUs(presentCapacity(nowUs), nowUs);
+        double unitIntervalUs = responses.unitCapacityIntervalUs(presentCapacity(nowUs), nowUs);
         double multiple = Math.max(1, settings.overloadMultiple() / 2);
-        double gapUs = unitGapUs / (presentCapacity(server, nowUs) * multiple);
-        double capacity = 1 + MAX_SAVED_WINDOW * settings.overloadWindowUs() / gapUs;
-        server.slowStart.refill(gapUs, capacity, nowUs);
+        double intervalUs = unitIntervalUs / (presentCapacity(server, nowUs) * multiple);
+        double capacity = 1 + MAX_SAVED_WINDOW_SHARE * settings.overloadWindowUs() / intervalUs;
+        server.slowStart.refill(intervalUs, capacity, nowUs);
     }
 
-    /** Present capacity of all ready servers, in the unit of the list's weights. */
+    /** Returns the present capacity of all ready servers, in the unit of the endpoint list's weights. */
     double presentCapacity(long nowUs) {
         if (nowUs >= totalCapacityAtUs + CAPACITY_TTL_US) {
             totalCapacityAtUs = nowUs;
@@ -73,11 +76,11 @@
 
     private double presentCapacity(Server server, long nowUs) {
         return server.listedWeight()
-                * (settings.slowStartCapacity() + (1 - settings.slowStartCapacity()) * warmth(server, nowUs));
+                * (settings.slowStartCapacity() + (1 - settings.slowStartCapacity()) * warmUpProgress(server, nowUs));
     }
 
-    /** How far the server has warmed up, from 0 to 1. */
-    private double warmth(Server server, long nowUs) {
+    /** Returns the share of its warm-up that the server has completed, from 0 to 1. */
+    private double warmUpProgress(Server server, long nowUs) {
         if (!isWarmingUp(server, nowUs)) {
             return 1;
         }
--- a/node/src/main/java/tansypass/balancer/SlowStartBudget.java
+++ b/node/src/main/java/tansypass/balancer/SlowStartBudget.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** Requests that this node may send to one server that is warming up. Times are microseconds. */
+/** The number of requests that this node may send to one server that is warming up. Times are microseconds. */
 final class SlowStartBudget {
     private double requests;
     private long refilledAtUs;
@@ -9,20 +9,20 @@
         return requests;
     }
 
-    /** Sets the budget of a server that has just started. */
+    /** Sets the initial budget of a server that has just started. */
     void start(double initialRequests, long nowUs) {
         requests = initialRequests;
         refilledAtUs = nowUs;
     }
 
     /**
-     * Adds the requests for the time since the last refill.
+     * Adds requests to the budget for the time since the last refill.
      *
-     * @param gapUs time in which one request is added, above 0
-     * @param capacity most requests that are saved up
+     * @param intervalUs time in which one request is added, above 0
+     * @param capacity largest number of requests that the budget holds
      */
-    void refill(double gapUs, double capacity, long nowUs) {
-        double refilled = requests + (nowUs - refilledAtUs) / gapUs;
+    void refill(double intervalUs, double capacity, long nowUs) {
+        double refilled = requests + (nowUs - refilledAtUs) / intervalUs;
         requests = Math.min(capacity, refilled);
         refilledAtUs = nowUs;
     }
--- a/node/src/main/java/tansypass/balancer/StablePriorityQueue.java
+++ b/node/src/main/java/tansypass/balancer/StablePriorityQueue.java
@@ -6,18 +6,18 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A priority queue in a sorted list: highest priority first, and first come, first served among equals.
+ * A priority queue that is kept as a sorted list. Items of the same priority are in the order of their addition.
  *
- * @param <T> the items
+ * @param <T> the type of the items
  */
 final class StablePriorityQueue<T> {
     private final ArrayList<T> items = new ArrayList<>();
     private final Comparator<T> order;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param priority an item's priority; {@link #sort} is called after it has changed
+     * @param priority returns an item's priority; callers must call {@link #sort} after a priority has changed
      */
     StablePriorityQueue(ToDoubleFunction<T> priority) {
         order = Comparator.comparingDouble(item -> -priority.applyAsDouble(item));
@@ -31,12 +31,12 @@
         return items.size();
     }
 
-    /** The item at an index; the one at 0 has the highest priority. */
+    /** Returns the item at an index. The item at index 0 has the highest priority. */
     T get(int index) {
         return items.get(index);
     }
 
-    /** Adds an item after all of its priority or a higher one. */
+    /** Adds an item after all items of the same or a higher priority. */
     void add(T item) {
         int index = items.size();
         while (index > 0 && order.compare(items.get(index - 1), item) > 0) {
@@ -45,9 +45,9 @@
         items.add(index, item);
     }
 
-    /** Removes the items that pass a test, which has no side effects. */
-    void removeIf(Predicate<T> test) {
-        items.removeIf(test);
+    /** Removes the items that match a predicate, which must have no side effects. */
+    void removeIf(Predicate<T> predicate) {
+        items.removeIf(predicate);
     }
 
     /** Restores the order after priorities have changed. */
--- a/node/src/main/java/tansypass/balancer/Tenant.java
+++ b/node/src/main/java/tansypass/balancer/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param name for messages
- * @param quotaPerS quota in requests a second over all nodes; 0 for none
+ * @param name name of the tenant, used in messages
+ * @param quotaPerS quota in requests per second over all nodes; 0 for no quota
  */
 public record Tenant(String name, double quotaPerS) {}
--- a/node/src/main/java/tansypass/balancer/TokenBucket.java
+++ b/node/src/main/java/tansypass/balancer/TokenBucket.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** A token bucket on the caller's clock, in microseconds; its rate may change from call to call. */
+/** A token bucket whose rate may change from call to call. Times are microseconds of the caller's clock. */
 final class TokenBucket {
     private double tokens;
-    private long refilledAt;
+    private long refilledAtUs;
 
-    /** Creates so many buckets, each full at its first use. */
+    /** Creates an array of buckets, each of which is full at its first use. */
     static TokenBucket[] array(int length) {
         TokenBucket[] buckets = new TokenBucket[length];
         Arrays.setAll(buckets, i -> new TokenBucket());
@@ -17,15 +17,15 @@
     /**
      * Refills the bucket and takes one token if there is one.
      *
-     * @param nowUs the time; never goes backwards
-     * @param ratePerS tokens added in a second, above 0
-     * @param burstS seconds of the rate that the bucket holds, and has at its first use; it holds one token at least
+     * @param nowUs the current time, which never goes backwards
+     * @param ratePerS number of tokens that are added per second, above 0
+     * @param burstS capacity of the bucket in seconds of the rate; the capacity is at least one token
      * @return whether a token was taken
      */
     boolean tryTake(long nowUs, double ratePerS, double burstS) {
         double capacity = Math.max(1, ratePerS * burstS);
-        double elapsedS = refilledAt == 0 ? burstS : (nowUs - refilledAt) / 1e6;
-        refilledAt = nowUs;
+        double elapsedS = refilledAtUs == 0 ? burstS : (nowUs - refilledAtUs) / 1e6;
+        refilledAtUs = nowUs;
         tokens = Math.min(capacity, tokens + ratePerS * elapsedS);
         if (tokens < 1) {
             return false;
--- a/node/src/main/java/tansypass/balancer/UpdateKind.java
+++ b/node/src/main/java/tansypass/balancer/UpdateKind.java
@@ -1,11 +1,11 @@
 package tansypass.balancer;
 
-/** What an update of the endpoint list contains. */
+/** The content of an update of the endpoint list. */
 public enum UpdateKind {
     /** Only the entries that changed. */
     DELTA,
     /** All entries. */
     SNAPSHOT,
-    /** All entries as the node had cached them, possibly stale; once, at the start. */
+    /** All entries that the node had cached, possibly stale. Sent once, when the node starts. */
     CACHED
 }
--- a/node/src/main/java/tansypass/balancer/WakeUpTimer.java
+++ b/node/src/main/java/tansypass/balancer/WakeUpTimer.java
@@ -1,6 +1,6 @@
 package tansypass.balancer;
 
-/** The one timer that the load balancer has pending at a time. Times are microseconds of the caller's clock. */
+/** The load balancer's timer, of which at most one is pending. Times are microseconds of the caller's clock. */
 final class WakeUpTimer {
     private final LoadBalancerActions actions;
     private long pendingAtUs = Long.MAX_VALUE;
@@ -9,7 +9,7 @@
         this.actions = actions;
     }
 
-    /** Schedules the timer, unless it is pending for that time or an earlier one. */
+    /** Schedules the timer, unless it is already pending for that time or an earlier one. */
     void scheduleAt(long atUs, long nowUs) {
         if (atUs < pendingAtUs) {
             pendingAtUs = Math.max(atUs, nowUs + 1);
@@ -17,7 +17,7 @@
         }
     }
 
-    /** A timer has fired: the pending one is forgotten if it is due. */
+    /** Records that a timer has fired. The pending timer is cleared if it was due. */
     void onFired(long nowUs) {
         if (nowUs >= pendingAtUs) {
             pendingAtUs = Long.MAX_VALUE;
--- a/node/src/main/java/tansypass/balancer/WeightedSampler.java
+++ b/node/src/main/java/tansypass/balancer/WeightedSampler.java
@@ -5,65 +5,65 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Draws items at random by weight, in logarithmic time as long as most items are accepted.
+ * Draws items at random by weight, in logarithmic time as long as the filter accepts most items.
  *
- * @param <T> the items
- * @param <C> what an item is drawn for
+ * @param <T> the type of the items
+ * @param <C> the type of the context of a draw, such as the request that a server is drawn for
  */
 final class WeightedSampler<T, C> {
     /**
      * Decides whether an item may be drawn.
      *
-     * @param <C> what an item is drawn for
-     * @param <T> the items
+     * @param <C> the type of the context of a draw
+     * @param <T> the type of the items
      */
     interface Filter<C, T> {
-        /** Returns whether the item may be drawn now; it may record that it was not. */
-        boolean accept(C purpose, T item, long nowUs);
+        /** Returns whether the item may be drawn now. An implementation may record that it has refused the item. */
+        boolean accept(C context, T item, long nowUs);
     }
 
     private final T[] items;
-    private final double[] sums;
-    private final ToDoubleFunction<T> weight;
+    private final double[] cumulativeWeights;
+    private final ToDoubleFunction<T> weightFunction;
     private final Filter<C, T> filter;
 
-    /** A sampler of these items; {@link #update} is called before the first draw. */
-    WeightedSampler(T[] items, ToDoubleFunction<T> weight, Filter<C, T> filter) {
+    /** Creates a sampler of these items. Callers must call {@link #update} before the first draw. */
+    WeightedSampler(T[] items, ToDoubleFunction<T> weightFunction, Filter<C, T> filter) {
         this.items = items;
-        this.weight = weight;
+        this.weightFunction = weightFunction;
         this.filter = filter;
-        sums = new double[items.length];
+        cumulativeWeights = new double[items.length];
     }
 
-    /** Computes the sums of the items' weights anew. */
+    /** Recomputes the cumulative weights after weights have changed. */
     void update() {
         double sum = 0;
         for (int i = 0; i < items.length; i++) {
-            sum += weight.applyAsDouble(items[i]);
-            sums[i] = sum;
+            sum += weightFunction.applyAsDouble(items[i]);
+            cumulativeWeights[i] = sum;
         }
     }
 
     /**
-     * Draws one of the items that are accepted, but for {@code except}; null if there is none.
+     * Draws one of the items that the filter accepts, except {@code excluded}; returns null if there is none.
      *
-     * @param redraws how often an item that is not accepted is drawn again before all are looked through
+     * @param maxRedraws number of further draws, each after an item that is not accepted, before all items are checked
      */
-    T drawOrNull(SplittableRandom random, int redraws, C purpose, T except, long nowUs) {
-        for (int i = 0; i <= redraws && items.length > 0; i++) {
-            T item = items[position(random.nextDouble())];
-            if (item != except && filter.accept(purpose, item, nowUs)) {
+    T drawOrNull(SplittableRandom random, int maxRedraws, C context, T excluded, long nowUs) {
+        for (int i = 0; i <= maxRedraws && items.length > 0; i++) {
+            T item = items[indexOf(random.nextDouble())];
+            if (item != excluded && filter.accept(context, item, nowUs)) {
                 return item;
             }
         }
-        // Few are accepted: one pass of weighted reservoir sampling.
+        // The filter accepts few items: draw by one pass of weighted reservoir sampling.
         T drawn = null;
-        double total = 0;
+        double totalWeight = 0;
         for (T item : items) {
-            if (item != except && filter.accept(purpose, item, nowUs)) {
-                double itemWeight = weight.applyAsDouble(item);
-                total += itemWeight;
-                if (random.nextDouble() * total < itemWeight) {
+            if (item != excluded && filter.accept(context, item, nowUs)) {
+                double itemWeight = weightFunction.applyAsDouble(item);
+                totalWeight += itemWeight;
+                if (random.nextDouble() * totalWeight < itemWeight) {
                     drawn = item;
                 }
             }
@@ -71,10 +71,11 @@
         return drawn;
     }
 
-    private int position(double uniform) {
-        int last = sums.length - 1;
-        int found = Arrays.binarySearch(sums, uniform * sums[last]);
-        int firstAbove = found < 0 ? -1 - found : found + 1;
+    /** Returns the index of the item that a uniform random number in [0, 1) selects. */
+    private int indexOf(double uniform) {
+        int last = cumulativeWeights.length - 1;
+        int searchResult = Arrays.binarySearch(cumulativeWeights, uniform * cumulativeWeights[last]);
+        int firstAbove = searchResult < 0 ? -1 - searchResult : searchResult + 1;
         return Math.min(last, firstAbove);
     }
 }
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -4,11 +4,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Power of two choices, weighted by errors: of two servers that are drawn with weights that fall with their errors, a
- * request goes to the one with fewer attempts in flight. This class hands each event to the parts that decide.
+ * A load balancer that uses the power of two choices, weighted by errors. It draws two servers at random, where a
+ * server's weight falls with its errors, and sends the request to the one with fewer attempts in flight. This class
+ * passes each event to the classes that make the decisions.
  *
- * <p>After "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark each departure
- * from the paper; docs/design.md explains them.
+ * <p>The algorithm is that of "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark
+ * each departure from the paper; docs/design.md explains them.
  */
 public final class WeightedTwoChoicesLoadBalancer implements LoadBalancer {
     private final BalancerSettings settings;
@@ -29,7 +30,7 @@
     private final WakeUpTimer timer;
 
     /**
-     * A load balancer without servers or requests.
+     * Creates a load balancer without servers or requests.
      *
      * @param seed seed of all random draws
      */
@@ -98,8 +99,9 @@
     }
 
     private void admit(long nowUs, BalancerRequest request, boolean receivingBody) {
-        if (!settings.isKnown(request) || requests.contains(request.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is in flight: " + request);
+        if (!settings.hasClassAndTenant(request) || requests.contains(request.id())) {
+            throw new IllegalArgumentException(
+                    "class or tenant is unknown, or the id is already in flight: " + request);
         }
         long elapsedUs = elapsedTimes.recordRequest(request);
         if (elapsedUs == 0) {
@@ -108,7 +110,7 @@
         PendingRequest pending = new PendingRequest(request, settings, receivingBody, elapsedUs, nowUs);
         requests.add(pending);
         queue.prioritize(pending, nowUs);
-        if (rules.hasNoValue(pending, nowUs)) {
+        if (rules.isWorthless(pending, nowUs)) {
             requests.reject(pending, nowUs);
             return;
         }
@@ -117,8 +119,8 @@
     }
 
     private void dispatch(PendingRequest pending, long nowUs) {
-        boolean mayProbe = queue.isEmpty() && nowUs < pending.deadlineAtUs();
-        if (!mayProbe || !probes.tryStart(pending, nowUs)) {
+        boolean canProbe = queue.isEmpty() && nowUs < pending.deadlineAtUs();
+        if (!canProbe || !probes.tryStart(pending, nowUs)) {
             queue.dispatch(pending, nowUs);
         }
     }
@@ -166,7 +168,7 @@
         dispatchQueued(nowUs);
     }
 
-    /** Sends a failed request to the next server in list order, queues it, or gives its final response. */
+    /** Sends a request whose attempt has failed to the next server in list order, queues it or ends it. */
     private void retryOnNextServer(PendingRequest pending, Server failed, long nowUs) {
         if (!rules.canRetry(pending, nowUs)) {
             requests.reject(pending, nowUs);
@@ -189,7 +191,7 @@
         pending.markResponseStarted();
         Attempt attempt = pending.attemptInFlightOrNull(attemptNumber);
         if (attempt != null && !pending.requestClass().stream() && !pending.isRelaying()) {
-            // The rest of a long response takes the network's time, and no more of the server's.
+            // The server's work ends with the start of a long response: only the transfer takes longer.
             pending.startRelaying();
             long latencyUs = nowUs - attempt.sentAtUs();
             outcomes.recordOutcome(pending, attempt, AttemptResult.OK, latencyUs, nowUs);
@@ -237,7 +239,7 @@
         return servers.listedCount();
     }
 
-    /** Number of servers that are remembered, removed ones that hold a request included. */
+    /** Returns the number of tracked servers: those on the list, and removed ones that still had attempts in flight. */
     int trackedServerCount() {
         return servers.tracked().size();
     }
