--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -17,7 +17,7 @@
     /** The requests that the present pass over the queue can still send. */
     private enum Availability {
         ANY,
-        /** Only ejected servers may have capacity, and non-idempotent requests are not sent to these. */
+        /** Only ejected servers may have capacity left. Non-idempotent requests are not sent to ejected servers. */
         NOT_FOR_NON_IDEMPOTENT,
         NONE
     }
@@ -67,7 +67,7 @@
         return queue.isEmpty() ? Long.MAX_VALUE : nowUs + expiryIntervalUs;
     }
 
-    /** Sets a request's priority: its weight, which is reduced beyond its tenant's quota, per unit of its work. */
+    /** Sets a request's priority to its weight per unit of work. The weight is reduced if its tenant is over quota. */
     void prioritize(PendingRequest pending, long nowUs) {
         double weight = pending.requestClass().priorityWeight();
         if (!tryTakeQuota(pending.tenant(), nowUs)) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Returns whether a request can't succeed any more, or will not be able to at the next pass. */
+    /** Returns whether a request has no chance of success any more, or will have none at the next pass. */
     private boolean isExpired(PendingRequest pending, boolean late, long nowUs) {
         return pending.deadlineAtUs() - nowUs <= expiryIntervalUs + settings.tickUs()
                 || (late && pending.requestClass().residualWeight() == 0)
@@ -171,7 +171,7 @@
     private void trySendQueued(PendingRequest pending, long nowUs) {
         boolean sent = trySend(pending, nowUs);
         if (!sent && pending.attemptCount() == 0) {
-            // A request without attempts can go to any server: if none admits it, none admits a later one of its kind.
+            // A request without attempts can go to any server. If none admits it, none admits a later one either.
             availability = pending.isNonIdempotent() ? Availability.NOT_FOR_NON_IDEMPOTENT : Availability.NONE;
         }
     }
--- a/node/src/main/java/tansypass/balancer/ClusterSize.java
+++ b/node/src/main/java/tansypass/balancer/ClusterSize.java
@@ -16,19 +16,19 @@
     }
 
     /**
-     * Updates the number of nodes to that of the membership protocol.
+     * Replaces the number of nodes by that of the membership protocol.
      *
-     * @param present number of nodes that serve clients; 0 if the number is unknown
-     * @param lost number of nodes that are unreachable from here; they count as present because they may still serve
-     *     clients
+     * @param presentNodes number of nodes that serve clients; 0 if the number is unknown
+     * @param lostNodes number of nodes that are unreachable from here; they count as present because they may still
+     *     serve clients
      */
-    void update(int present, int lost) {
-        if (present == 0) {
+    void update(int presentNodes, int lostNodes) {
+        if (presentNodes == 0) {
             nodes = configuredNodes;
             return;
         }
         // A number far below the configured one is more likely incomplete than correct.
         int minNodes = (configuredNodes + 1) / 2;
-        nodes = Math.max(minNodes, present + lost);
+        nodes = Math.max(minNodes, presentNodes + lostNodes);
     }
 }
--- a/node/src/main/java/tansypass/balancer/EjectionState.java
+++ b/node/src/main/java/tansypass/balancer/EjectionState.java
@@ -7,7 +7,7 @@
     /** Number of latest outcomes in which failures are counted. */
     private static final int WINDOW_OUTCOMES = 16;
 
-    /** Mean of the first interval without requests, which doubles with each half-open probe that fails. */
+    /** Mean of the interval without requests after an ejection. It doubles with each half-open probe that fails. */
     private static final long FIRST_EJECTION_US = 250_000;
 
     /** Largest mean of the interval without requests. */
--- a/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
@@ -1,7 +1,7 @@
 package tansypass.balancer;
 
 /**
- * Estimates how long ago a client first tried a request, from the remaining time that the request states. The mode of
+ * Estimates how long ago a client first tried a request, from the request's remaining time. The mode of
  * the remaining times of a class is taken as the remaining time of first tries. A request with less remaining time is a
  * later try.
  */
@@ -9,7 +9,7 @@
     /** Remaining times that differ by up to this share of the deadline are the same, because network delays vary. */
     private static final double TOLERANCE = 0.02;
 
-    /** Smallest share of a class's requests that are first tries: under overload most requests are retries. */
+    /** Smallest share of a class's requests for the mode: under overload most requests are retries. */
     private static final double MIN_SHARE = 0.2;
 
     private final BalancerSettings settings;
--- a/node/src/main/java/tansypass/balancer/Idempotency.java
+++ b/node/src/main/java/tansypass/balancer/Idempotency.java
@@ -4,7 +4,7 @@
 public enum Idempotency {
     /** The request may be executed any number of times. */
     IDEMPOTENT,
-    /** The request may be repeated: the servers of a scope drop repeats of an idempotency key within a window. */
+    /** The request is executed once per idempotency key: the servers of a scope drop repeats within a window. */
     KEYED,
     /** The request must not be executed more than once. */
     NON_IDEMPOTENT
--- a/node/src/main/java/tansypass/balancer/LoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancer.java
@@ -58,13 +58,13 @@
     void onProbe(long nowUs, String serverId, AttemptResult result, long latencyUs, double[] report);
 
     /**
-     * Called when the number of nodes has changed, which replaces {@link BalancerSettings#nodes}.
+     * Called with the number of nodes in the cluster, which replaces {@link BalancerSettings#nodes}.
      *
-     * @param present number of nodes that serve clients, including this one; 0 if the number is unknown, in which case
-     *     {@link BalancerSettings#nodes} applies again
-     * @param lost number of nodes that have become unreachable but may still serve clients
+     * @param presentNodes number of nodes that serve clients, including this one; 0 if the number is unknown, in which
+     *     case {@link BalancerSettings#nodes} applies again
+     * @param lostNodes number of nodes that have become unreachable but may still serve clients
      */
-    void onClusterSize(long nowUs, int present, int lost);
+    void onClusterSize(long nowUs, int presentNodes, int lostNodes);
 
     /** Called when the timer of {@link LoadBalancerActions#scheduleTimer} is due. */
     void onTimer(long nowUs);
--- a/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
+++ b/node/src/main/java/tansypass/balancer/LoadBalancerActions.java
@@ -1,8 +1,8 @@
 package tansypass.balancer;
 
 /**
- * The actions that the load balancer calls in its node. They take effect in order, at the time of the event, and are
- * called on the thread of the event method. Times are microseconds of the caller's clock.
+ * The actions that the load balancer requests from its node. They take effect in order, at the time of the event, and
+ * are called on the thread of the event method. Times are microseconds of the caller's clock.
  */
 public interface LoadBalancerActions extends ServerHealthListener {
     /**
--- a/node/src/main/java/tansypass/balancer/PendingRequests.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that have no final response yet or an attempt in flight. This class also sends final responses. */
+/** The requests that have an attempt in flight or no final response yet. This class also sends final responses. */
 final class PendingRequests {
     private final BalancerSettings settings;
     private final LoadBalancerActions actions;
--- a/node/src/main/java/tansypass/balancer/ProbeSelection.java
+++ b/node/src/main/java/tansypass/balancer/ProbeSelection.java
@@ -67,7 +67,7 @@
         if (meanUs == 0 || !isEnabled()) {
             return false;
         }
-        if (selector.halfOpenServerOrNull(pending, nowUs) != null) {
+        if (selector.findHalfOpenOrNull(pending, nowUs) != null) {
             return false;
         }
         if (pending.objectiveAtUs() - nowUs < 2 * waitUs || isTooExpensive(pending)) {
@@ -121,7 +121,7 @@
         if (succeeded) {
             latencies.recordProbe(server, latencyUs, nowUs);
         } else {
-            // A failed probe is no error and does not eject: a congested server drops probes while it serves requests.
+            // A failed probe neither counts as an error nor ejects: a congested server drops probes and still serves.
             latencies.record(server, ConcurrencyLimiter.CONGESTED_LATENCY_MULTIPLE, nowUs);
         }
         for (PendingRequest pending : server.probe.finish()) {
--- a/node/src/main/java/tansypass/balancer/RelativeLatencies.java
+++ b/node/src/main/java/tansypass/balancer/RelativeLatencies.java
@@ -44,7 +44,7 @@
                 - connectCost(second, nowUs);
     }
 
-    /** Returns whether a difference is too small to prefer one of two servers. */
+    /** Returns whether a latency difference is too small to prefer one of two servers. */
     static boolean isNegligible(double difference) {
         return Math.abs(difference) < TOLERANCE;
     }
--- a/node/src/main/java/tansypass/balancer/RetryRules.java
+++ b/node/src/main/java/tansypass/balancer/RetryRules.java
@@ -18,7 +18,7 @@
                 || nowUs >= pending.deadlineAtUs()
                 || pending.hasResponseStarted()
                 || !pending.isBodyReplayable()
-                || isWorthless(pending, nowUs)) {
+                || isResponseWorthless(pending, nowUs)) {
             return false;
         }
         Attempt earliest = pending.earliestPossiblyExecutedOrNull();
@@ -58,8 +58,8 @@
         };
     }
 
-    /** Returns whether a response to the request would be worthless by now, and no server should work on it. */
-    boolean isWorthless(PendingRequest pending, long nowUs) {
+    /** Returns whether a response is worthless by now, in which case no server should work on the request. */
+    boolean isResponseWorthless(PendingRequest pending, long nowUs) {
         return pending.requestClass().residualWeight() == 0 && nowUs >= pending.objectiveAtUs();
     }
 
@@ -71,7 +71,7 @@
             return true;
         }
         // This client retries only after a rejection: fail the request if a response to the retry would be worthless.
-        return pending.earliestPossiblyExecutedOrNull() == null && !isWorthless(pending, nowUs);
+        return pending.earliestPossiblyExecutedOrNull() == null && !isResponseWorthless(pending, nowUs);
     }
 
     /**
--- a/node/src/main/java/tansypass/balancer/ServerSelector.java
+++ b/node/src/main/java/tansypass/balancer/ServerSelector.java
@@ -9,7 +9,7 @@
  * the request, because they are called for each request.
  */
 final class ServerSelector {
-    /** Number of repeated draws, each after a draw of a server that is not admitted, before all servers are checked. */
+    /** Largest number of further draws after a server that does not admit the request; then all servers are checked. */
     private static final int MAX_REDRAWS = 3;
 
     /**
@@ -65,7 +65,7 @@
 
     /** Selects a half-open server if there is one, otherwise one of two drawn servers, otherwise an ejected server. */
     Server selectOrNull(PendingRequest pending, long nowUs) {
-        Server halfOpen = halfOpenServerOrNull(pending, nowUs);
+        Server halfOpen = findHalfOpenOrNull(pending, nowUs);
         if (halfOpen != null) {
             return halfOpen;
         }
@@ -73,16 +73,16 @@
         if (drawn != null) {
             return drawn;
         }
-        return lastResortOrNull(pending, nowUs);
+        return findLastResortOrNull(pending, nowUs);
     }
 
     /** Selects the next server in list order after the failed one; servers without errors are preferred. */
     Server selectNextOrNull(PendingRequest pending, Server failed, long nowUs) {
-        Server preferred = nextInListOrderOrNull(pending, failed, true, nowUs);
-        return preferred != null ? preferred : nextInListOrderOrNull(pending, failed, false, nowUs);
+        Server preferred = findNextInListOrderOrNull(pending, failed, true, nowUs);
+        return preferred != null ? preferred : findNextInListOrderOrNull(pending, failed, false, nowUs);
     }
 
-    private Server nextInListOrderOrNull(PendingRequest pending, Server failed, boolean preferredOnly, long nowUs) {
+    private Server findNextInListOrderOrNull(PendingRequest pending, Server failed, boolean preferredOnly, long nowUs) {
         Server[] ready = servers.ready();
         for (int i = 1; i <= ready.length; i++) {
             Server next = ready[(failed.position() + i) % ready.length];
@@ -100,7 +100,7 @@
     }
 
     /** Returns an ejected server that is due for a half-open probe, which is a single request. */
-    Server halfOpenServerOrNull(PendingRequest pending, long nowUs) {
+    Server findHalfOpenOrNull(PendingRequest pending, long nowUs) {
         if (!mayTryEjected(pending)) {
             return null;
         }
@@ -116,7 +116,7 @@
     /**
      * Returns the ejected server with the fewest failures: an overloaded cluster needs the capacity of these servers.
      */
-    private Server lastResortOrNull(PendingRequest pending, long nowUs) {
+    private Server findLastResortOrNull(PendingRequest pending, long nowUs) {
         if (!mayTryEjected(pending)) {
             return null;
         }
--- a/node/src/main/java/tansypass/balancer/WeightedSampler.java
+++ b/node/src/main/java/tansypass/balancer/WeightedSampler.java
@@ -47,7 +47,7 @@
     /**
      * Draws one of the items that the filter accepts, except {@code excluded}; returns null if there is none.
      *
-     * @param maxRedraws number of further draws, each after an item that is not accepted, before all items are checked
+     * @param maxRedraws largest number of further draws after an item that is not accepted; then all items are checked
      */
     T drawOrNull(SplittableRandom random, int maxRedraws, C context, T excluded, long nowUs) {
         for (int i = 0; i <= maxRedraws && items.length > 0; i++) {
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -4,11 +4,11 @@
 import java.util.SplittableRandom;
 
 /**
- * A load balancer that uses the power of two choices, weighted by errors. It draws two servers at random, where a
- * server's weight falls with its errors, and sends the request to the one with fewer attempts in flight. This class
- * passes each event to the classes that make the decisions.
+ * A load balancer that uses the power of two choices, weighted by errors. It draws two servers at random, by
+ * weights that fall with each server's errors, and sends the request to the one with fewer attempts in flight. This
+ * class passes each event to the classes that make the decisions.
  *
- * <p>The algorithm is that of "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark
+ * <p>The algorithm is based on "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). Comments mark
  * each departure from the paper; docs/design.md explains them.
  */
 public final class WeightedTwoChoicesLoadBalancer implements LoadBalancer {
@@ -81,9 +81,9 @@
     }
 
     @Override
-    public void onClusterSize(long nowUs, int present, int lost) {
+    public void onClusterSize(long nowUs, int presentNodes, int lostNodes) {
         int nodesBefore = clusterSize.nodes();
-        clusterSize.update(present, lost);
+        clusterSize.update(presentNodes, lostNodes);
         limiter.scaleLimits((double) nodesBefore / clusterSize.nodes());
         dispatchQueued(nowUs);
     }
@@ -110,7 +110,7 @@
         PendingRequest pending = new PendingRequest(request, settings, receivingBody, elapsedUs, nowUs);
         requests.add(pending);
         queue.prioritize(pending, nowUs);
-        if (rules.isWorthless(pending, nowUs)) {
+        if (rules.isResponseWorthless(pending, nowUs)) {
             requests.reject(pending, nowUs);
             return;
         }
@@ -191,7 +191,7 @@
         pending.markResponseStarted();
         Attempt attempt = pending.attemptInFlightOrNull(attemptNumber);
         if (attempt != null && !pending.requestClass().stream() && !pending.isRelaying()) {
-            // The server's work ends with the start of a long response: only the transfer takes longer.
+            // The rest of a long response takes time on the network, but no more work of the server.
             pending.startRelaying();
             long latencyUs = nowUs - attempt.sentAtUs();
             outcomes.recordOutcome(pending, attempt, AttemptResult.OK, latencyUs, nowUs);
--- a/node/src/main/java/tansypass/balancer/package-info.java
+++ b/node/src/main/java/tansypass/balancer/package-info.java
@@ -10,7 +10,7 @@
  * data structures. Comments refer to the rules of the protocol by number: 1 final responses, 2 retries, 3 draining
  * servers, 4 slow start.
  *
- * <p>The algorithm is that of "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). docs/design.md
+ * <p>The algorithm is based on "Adaptive Request Modeling in Clusters during Adverse States" (ServiceQ). docs/design.md
  * describes it and each departure from the paper; docs/capacity.md has the history of its tuning.
  */
 package tansypass.balancer;
