--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -74,8 +74,8 @@
             weight *= settings.overQuotaWeight();
         }
         meanPriorityWeight.add(weight);
-        double work = settings.weightByWork() ? 1 : Math.max(1, responses.meanLatencyUs(pending));
-        pending.setPriority(weight, weight / work);
+        double workUnits = settings.weightByWork() ? 1 : Math.max(1, responses.meanLatencyUs(pending));
+        pending.setPriority(weight, weight / workUnits);
     }
 
     /** Takes one request from this node's share of a tenant's quota. Returns whether the quota allows the request. */
--- a/node/src/main/java/tansypass/balancer/Attempt.java
+++ b/node/src/main/java/tansypass/balancer/Attempt.java
@@ -23,7 +23,9 @@
         return server;
     }
 
-    /** Returns the time at which the attempt was sent; the last byte of its body, if the body was sent later. */
+    /**
+     * Returns the time at which the attempt was sent. If its body was sent later, this is the time of the last byte.
+     */
     long sentAtUs() {
         return sentAtUs;
     }
--- a/node/src/main/java/tansypass/balancer/ClusterSize.java
+++ b/node/src/main/java/tansypass/balancer/ClusterSize.java
@@ -5,7 +5,7 @@
     private final int configuredNodes;
     private int nodes;
 
-    /** Creates a cluster size that is the configured one until an update. */
+    /** Creates a cluster size with the configured number of nodes, which applies until the first update. */
     ClusterSize(int configuredNodes) {
         this.configuredNodes = configuredNodes;
         nodes = configuredNodes;
--- a/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
+++ b/node/src/main/java/tansypass/balancer/ConcurrencyLimiter.java
@@ -21,7 +21,8 @@
     private static final double TIMEOUT_CUT_SHARE = 0.3;
 
     /**
-     * Exponent of the number of nodes by which raises and cuts scale: at 0 a node of a large cluster learns too slowly.
+     * Raises and cuts of a limit scale by the number of nodes to the power of this exponent. At 0 a node of a large
+     * cluster learns too slowly.
      */
     private static final double NODE_COUNT_EXPONENT = 0.25;
 
@@ -62,7 +63,7 @@
 
     /** Adjusts a server's limit to a successful response. */
     void recordResponse(PendingRequest pending, Server server, long sentAtUs, long latencyUs, long nowUs) {
-        double before = server.limit.value();
+        double limitBefore = server.limit.value();
         double congestedUs = Math.min(
                 CONGESTED_OBJECTIVE_SHARE * pending.latencyObjectiveUs(),
                 CONGESTED_LATENCY_MULTIPLE * responses.minLatencyUs(pending));
@@ -71,14 +72,14 @@
         } else if (server.limit.wasReachedSince(sentAtUs) && canIncrease(server, nowUs)) {
             server.limit.increase(limitIncrease);
         }
-        servers.addToTotalLimit(server, server.limit.value() - before);
+        servers.addToTotalLimit(server, server.limit.value() - limitBefore);
     }
 
     /** Cuts a server's limit because an attempt timed out. */
     void recordTimeout(Server server, long sentAtUs, long nowUs) {
-        double before = server.limit.value();
+        double limitBefore = server.limit.value();
         cut(server, TIMEOUT_CUT_SHARE, sentAtUs, nowUs);
-        servers.addToTotalLimit(server, server.limit.value() - before);
+        servers.addToTotalLimit(server, server.limit.value() - limitBefore);
     }
 
     /**
--- a/node/src/main/java/tansypass/balancer/DecayingEwma.java
+++ b/node/src/main/java/tansypass/balancer/DecayingEwma.java
@@ -20,9 +20,9 @@
     }
 
     /** Adds a value. The distance from the baseline decays to 1/e in {@code decayUs} microseconds. */
-    void add(double next, long nowUs, double decayUs) {
-        double before = value(nowUs, decayUs);
-        value = before + gain * (next - before);
+    void add(double newValue, long nowUs, double decayUs) {
+        double decayedValue = value(nowUs, decayUs);
+        value = decayedValue + gain * (newValue - decayedValue);
         addedAtUs = nowUs;
     }
 
--- a/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
+++ b/node/src/main/java/tansypass/balancer/ElapsedTimeEstimator.java
@@ -9,7 +9,7 @@
     /** Remaining times that differ by up to this share of the deadline are the same, because network delays vary. */
     private static final double TOLERANCE = 0.02;
 
-    /** Smallest share of a class's requests for the mode: under overload most requests are retries. */
+    /** Smallest share of a class's requests that must match the mode. It is low: under overload most are retries. */
     private static final double MIN_SHARE = 0.2;
 
     private final BalancerSettings settings;
--- a/node/src/main/java/tansypass/balancer/EndpointTable.java
+++ b/node/src/main/java/tansypass/balancer/EndpointTable.java
@@ -36,7 +36,7 @@
         entries.forEach(entry -> merge(entry, nowUs));
         ready = listed.stream().filter(Server::isReady).toArray(Server[]::new);
         for (int i = 0; i < ready.length; i++) {
-            ready[i].setPosition(i);
+            ready[i].setReadyIndex(i);
         }
         if (ready.length == 0) {
             notifier.notifyNoServerReady(listed.size(), nowUs);
--- a/node/src/main/java/tansypass/balancer/Ewma.java
+++ b/node/src/main/java/tansypass/balancer/Ewma.java
@@ -16,8 +16,8 @@
         value = initial;
     }
 
-    void add(double next) {
-        value += gain * (next - value);
+    void add(double newValue) {
+        value += gain * (newValue - value);
     }
 
     double value() {
--- a/node/src/main/java/tansypass/balancer/MeanWithDriftingMinimum.java
+++ b/node/src/main/java/tansypass/balancer/MeanWithDriftingMinimum.java
@@ -29,8 +29,8 @@
         return means;
     }
 
-    void add(double next) {
-        mean.add(next);
+    void add(double newValue) {
+        mean.add(newValue);
         if (mean.count() < minCount) {
             minimum = Double.MAX_VALUE;
         } else {
--- a/node/src/main/java/tansypass/balancer/PendingRequest.java
+++ b/node/src/main/java/tansypass/balancer/PendingRequest.java
@@ -92,7 +92,7 @@
         return latencyObjectiveUs;
     }
 
-    /** Returns the time at which the request arrived; the last byte of its body, if the body arrived later. */
+    /** Returns the time at which the request arrived. If its body arrived later, this is the time of the last byte. */
     long arrivedAtUs() {
         return arrivedAtUs;
     }
@@ -245,7 +245,7 @@
         return probeDeadlineAtUs;
     }
 
-    /** Records that a probe for this request has ended without a server that admits the request. */
+    /** Records that a probe for this request has ended, and the request was not sent to the server. */
     void recordProbeFailed() {
         probesInFlight--;
     }
--- a/node/src/main/java/tansypass/balancer/RunningMean.java
+++ b/node/src/main/java/tansypass/balancer/RunningMean.java
@@ -18,9 +18,9 @@
     }
 
     /** Adds a value. The first value replaces the initial mean. */
-    void add(double next) {
+    void add(double newValue) {
         count++;
-        value += Math.max(gain, 1.0 / count) * (next - value);
+        value += Math.max(gain, 1.0 / count) * (newValue - value);
     }
 
     double value() {
--- a/node/src/main/java/tansypass/balancer/Server.java
+++ b/node/src/main/java/tansypass/balancer/Server.java
@@ -36,7 +36,7 @@
     private int cell;
     private ServerState state;
     private long startedAtUs;
-    private int position;
+    private int readyIndex;
     private double listedWeight;
     private double capacityWeight;
     private int errors;
@@ -123,12 +123,12 @@
     }
 
     /** Returns the server's index among the ready servers. */
-    int position() {
-        return position;
+    int readyIndex() {
+        return readyIndex;
     }
 
-    void setPosition(int position) {
-        this.position = position;
+    void setReadyIndex(int readyIndex) {
+        this.readyIndex = readyIndex;
     }
 
     /** Returns the number of failures since the last success, which is the error count of ServiceQ. */
--- a/node/src/main/java/tansypass/balancer/ServerSelector.java
+++ b/node/src/main/java/tansypass/balancer/ServerSelector.java
@@ -85,7 +85,7 @@
     private Server findNextInListOrderOrNull(PendingRequest pending, Server failed, boolean preferredOnly, long nowUs) {
         Server[] ready = servers.ready();
         for (int i = 1; i <= ready.length; i++) {
-            Server next = ready[(failed.position() + i) % ready.length];
+            Server next = ready[(failed.readyIndex() + i) % ready.length];
             boolean eligible = !preferredOnly || isPreferredForRetry(next);
             if (eligible && !pending.hasTried(next) && admission.tryAdmit(pending, next, nowUs)) {
                 return next;
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -100,8 +100,7 @@
 
     private void admit(long nowUs, BalancerRequest request, boolean receivingBody) {
         if (!settings.hasClassAndTenant(request) || requests.contains(request.id())) {
-            throw new IllegalArgumentException(
-                    "class or tenant is unknown, or the id is already in flight: " + request);
+            throw new IllegalArgumentException("unknown class or tenant, or an id that is in flight: " + request);
         }
         long elapsedUs = elapsedTimes.recordRequest(request);
         if (elapsedUs == 0) {
--- a/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
+++ b/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
@@ -296,8 +296,9 @@
     }
 
     /**
-     * Guards against a threshold of half the mean latency, with which overloaded servers would mostly respond late. If
-     * servers are slower than the latency objective, requests may still be queued for a while.
+     * Guards against queued requests that are rejected only when less than half the mean latency is left: overloaded
+     * servers would then mostly respond late. If servers are slower than the latency objective, requests may still be
+     * queued for a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
--- a/node/src/test/java/tansypass/balancer/SlowStartLimitChecker.java
+++ b/node/src/test/java/tansypass/balancer/SlowStartLimitChecker.java
@@ -17,7 +17,7 @@
 final class SlowStartLimitChecker {
     private static final double PER_MILLE = 1e3;
     private static final double US_PER_S = 1e6;
-    /** Largest assumed capacity of the ready servers, in warm servers: at any time many servers are removed. */
+    /** Largest assumed capacity of the ready servers, in warm servers. Many servers are removed at any time. */
     private static final double MAX_READY_CAPACITY = 3;
     /** Number of sends in a window by which a node may exceed its share by chance. */
     private static final int TOLERATED_SENDS = 2;
--- a/node/src/test/java/tansypass/balancer/StreamedBodyTest.java
+++ b/node/src/test/java/tansypass/balancer/StreamedBodyTest.java
@@ -72,7 +72,7 @@
         long id = startUpload(node, 500);
         String server = node.lastAttempt(id).server();
         assertEquals(Long.MAX_VALUE, node.lastAttempt(id).timeoutAtUs());
-        // The upload goes on after latency objective and deadline, and its server counts as idle as the other one.
+        // The upload goes on after its latency objective and deadline, and its server still counts as idle.
         node.advance(5_000_000);
         assertGetsFairShare(node, server);
         node.balancer.onUploadCompleted(node.nowUs, id);
