--- a/node/src/test/java/tansypass/node/ChildNodeProcess.java
+++ b/node/src/test/java/tansypass/node/ChildNodeProcess.java
@@ -11,7 +11,7 @@
 
 /** A node's program running in a process of its own; its standard error goes to its standard output. */
 final class ChildNodeProcess {
-    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.PATIENCE_S);
+    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.AWAIT_TIMEOUT_S);
 
     /** Ended through its handle: {@link Process#destroy} would close the stream of the output. */
     private final Process process;
@@ -54,9 +54,9 @@
         process.waitFor(limitMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Asserts that the process exits with this code within {@link FakePeer#PATIENCE_S}. */
+    /** Asserts that the process exits with this code within {@link FakePeer#AWAIT_TIMEOUT_S}. */
     void assertExits(int code, String message) throws InterruptedException {
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still running");
+        assertTrue(process.waitFor(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS), "still running");
         assertEquals(code, process.exitValue(), message);
     }
 
@@ -71,12 +71,12 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Waits until the program has printed this text; fails with its output after {@link FakePeer#PATIENCE_S}. */
+    /** Waits until the program has printed this text; fails with its output after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     void awaitPrinted(String expected) throws InterruptedException {
         output.awaitText(expected, PATIENCE);
     }
 
-    /** Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#PATIENCE_S}. */
+    /** Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     String awaitOutputEnd() throws InterruptedException {
         return output.awaitEnd(PATIENCE);
     }
--- a/node/src/test/java/tansypass/node/ClientDisconnectTest.java
+++ b/node/src/test/java/tansypass/node/ClientDisconnectTest.java
@@ -54,7 +54,7 @@
         }
         FakePeer.write(client, behind.toString());
         client.close();
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
         server.setScript(Fixture.RESPOND_OK);
         assertOnlyConnectedClientIsForwarded();
     }
@@ -130,7 +130,7 @@
         client.close();
         publishReadyServer();
         // The node sees the close of the client's connection first, and then the server.
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
         String partial = server.requests.poll();
         assertTrue(
                 partial == null || !partial.endsWith(body), "forwarded completely after the client had disconnected");
@@ -162,7 +162,7 @@
             node.awaitMetric("in_flight", 0);
             long sent = node.readMetric("attempts");
             // Now the connections opened for these requests are established.
-            listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
             for (int i = 0; i < queued.size(); i++) {
                 listener.accept();
             }
--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -117,7 +117,7 @@
                     return System.nanoTime();
                 })
                 .get();
-        assertTrue(held.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(held.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         Socket late = null;
         try {
             late = node.connect();
@@ -134,7 +134,7 @@
         if (late != null) {
             assertTrue(assertAnsweredOrUnread(late, 3), "taken and not answered");
         }
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /** The client reads so slowly that the kernel still holds much of the response when the connection is closed. */
@@ -152,13 +152,13 @@
         node = new RunningNode(createConfig());
         try (Socket client = new Socket()) {
             client.setReceiveBufferSize(4_096);
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
             client.connect(new InetSocketAddress("127.0.0.1", node.port));
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "Connection: close\r\n", ""));
             server.nextRequest();
             Socket attempt = FakePeer.awaitNext(server.accepted);
             // The request is announced before the script runs: the last byte must not overtake the others.
-            assertTrue(allButLastByteWritten.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(allButLastByteWritten.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             CountDownLatch release = node.blockEventLoop();
             attempt.setTcpNoDelay(true);
             // In one iteration of the event loop: the last byte of the response, then input that is never read.
@@ -212,7 +212,7 @@
             // Cut off after its start, which the client can tell.
             assertTrue(partialResponse.contains("chunked"), partialResponse);
         }
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(0, node.readMetric("web_servers_excluded"));
         assertNull(server.requests.poll(), "retried");
     }
--- a/node/src/test/java/tansypass/node/EventRaceTest.java
+++ b/node/src/test/java/tansypass/node/EventRaceTest.java
@@ -71,8 +71,8 @@
             // The next round starts on the connection that this one opened.
             Socket reopened = FakePeer.awaitNext(server.accepted);
             reopened.shutdownOutput();
-            FakePeer.awaitNext(server.ended);
-            FakePeer.awaitNext(server.ended);
+            FakePeer.awaitNext(server.closedConnections);
+            FakePeer.awaitNext(server.closedConnections);
         }
         assertEquals(20, server.requests.size());
     }
--- a/node/src/test/java/tansypass/node/FakePeer.java
+++ b/node/src/test/java/tansypass/node/FakePeer.java
@@ -18,7 +18,7 @@
 /** A scripted server on a loopback socket, used as a web server or as discovery; records all requests. */
 public final class FakePeer implements Closeable {
     /** How long tests wait for an expected event, in seconds. */
-    public static final long PATIENCE_S = 30;
+    public static final long AWAIT_TIMEOUT_S = 30;
 
     /** The reaction to a request; runs on the thread of its connection. */
     public interface Script {
@@ -38,7 +38,7 @@
     /** Requests received and not yet taken, oldest first. */
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     /** Connections closed by the other side. */
-    public final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
     /** Connections accepted and not yet taken, oldest first. */
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
@@ -91,16 +91,16 @@
         return "127.0.0.1:" + port();
     }
 
-    /** Takes the next request; fails after {@link #PATIENCE_S}. */
+    /** Takes the next request; fails after {@link #AWAIT_TIMEOUT_S}. */
     public String nextRequest() throws InterruptedException {
         return awaitNext(requests);
     }
 
-    /** Takes the next element; fails after {@link #PATIENCE_S}. */
+    /** Takes the next element; fails after {@link #AWAIT_TIMEOUT_S}. */
     public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+        T next = queue.poll(AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing arrived within " + PATIENCE_S + " s");
+            throw new AssertionError("nothing arrived within " + AWAIT_TIMEOUT_S + " s");
         }
         return next;
     }
@@ -112,7 +112,7 @@
                 script.run(socket, request);
             }
         } finally {
-            ended.add(socket);
+            closedConnections.add(socket);
         }
     }
 
--- a/node/src/test/java/tansypass/node/Fixture.java
+++ b/node/src/test/java/tansypass/node/Fixture.java
@@ -40,10 +40,10 @@
 
     private Fixture() {}
 
-    /** Connects to a port on loopback; reading there fails after {@link FakePeer#PATIENCE_S} seconds. */
+    /** Connects to a port on loopback; reading there fails after {@link FakePeer#AWAIT_TIMEOUT_S} seconds. */
     public static Socket connect(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
         return socket;
     }
 
@@ -102,10 +102,10 @@
         return release;
     }
 
-    /** Blocks the calling thread until the latch is counted down, for {@link FakePeer#PATIENCE_S} at most. */
+    /** Blocks the calling thread until the latch is counted down, for {@link FakePeer#AWAIT_TIMEOUT_S} at most. */
     public static void awaitLatch(CountDownLatch latch) {
         try {
-            latch.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            latch.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/node/src/test/java/tansypass/node/MainTest.java
+++ b/node/src/test/java/tansypass/node/MainTest.java
@@ -139,7 +139,7 @@
             Files.writeString(file, config.toString());
             process.hangUp();
             assertTrue(moved.nextRequest().contains("after=41 "));
-            assertSame(oldWatch, FakePeer.awaitNext(discovery.ended));
+            assertSame(oldWatch, FakePeer.awaitNext(discovery.closedConnections));
             assertServed(1);
         }
     }
--- a/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
+++ b/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
@@ -82,9 +82,9 @@
         awaitValue(expected, () -> readMetrics().get(name), name);
     }
 
-    /** Polls until the value is as expected; fails after {@link FakePeer#PATIENCE_S}. */
+    /** Polls until the value is as expected; fails after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     private static void awaitValue(int expected, Callable<Integer> actual, String name) throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         int last = actual.call();
         while (last != expected && System.nanoTime() < deadline) {
             Thread.onSpinWait();
--- a/node/src/test/java/tansypass/node/ProcessOutputTest.java
+++ b/node/src/test/java/tansypass/node/ProcessOutputTest.java
@@ -14,7 +14,7 @@
 /** Deadlines of the reads of a child process's output. */
 @Timeout(60)
 class ProcessOutputTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.PATIENCE_S);
+    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.AWAIT_TIMEOUT_S);
     private static final Duration SHORT = Duration.ofMillis(50);
     /** Prints a line and then waits for input, which never comes. */
     private static final String SILENT_AFTER_ONE_LINE = "echo started; exec cat";
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -164,7 +164,7 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "timed out after " + tookMs + " ms");
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
         assertEquals(1, server.requests.size());
     }
 
@@ -175,7 +175,7 @@
         FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "", ""));
         server.nextRequest();
         client.close();
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
         assertTrue(server.requests.isEmpty(), "retried after the client had disconnected");
     }
 
@@ -185,7 +185,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(sendRequest(Fixture.formatRequest("POST", "/order", i, "", ""))));
             FakePeer.awaitNext(server.accepted).close();
-            FakePeer.awaitNext(server.ended);
+            FakePeer.awaitNext(server.closedConnections);
         }
         assertEquals(5, server.requests.size());
     }
@@ -199,7 +199,7 @@
         discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", server));
         // Updates are asynchronous: the node has read both once 20 requests in a row avoid the server.
         discovery.publish(Fixture.formatEndpointList(43, false, "Ready", otherServer));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         int quiet = 0;
         for (int i = 1; quiet < 20; i++) {
             int before = server.requests.size();
--- a/node/src/test/java/tansypass/node/RetryWindowTest.java
+++ b/node/src/test/java/tansypass/node/RetryWindowTest.java
@@ -155,7 +155,7 @@
             CountDownLatch blocked = new CountDownLatch(1);
             CountDownLatch release = blockAfterConnect(blocked);
             seeFailure.countDown();
-            assertTrue(blocked.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(blocked.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             long blockedNs = System.nanoTime();
             crossed = remote.accepted.poll(ACCEPT_PATIENCE_MS, TimeUnit.MILLISECONDS) != null;
             spinUntil(blockedNs, windowMs);
@@ -183,7 +183,7 @@
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = blockAfterConnect(blocked);
         seeRequest.countDown();
-        assertTrue(blocked.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(blocked.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         FakePeer.awaitNext(server.accepted);
         spinUntil(System.nanoTime(), connectTimeoutMs);
         assertTrue(server.requests.isEmpty(), "event loop not blocked in time");
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -57,9 +57,9 @@
         return all.get("node." + name);
     }
 
-    /** Waits until a metric has the given value; fails after {@link FakePeer#PATIENCE_S}. */
+    /** Waits until a metric has the given value; fails after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     void awaitMetric(String name, long value) {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         while (readMetric(name) != value) {
             if (System.nanoTime() > deadline) {
                 throw new AssertionError(name + " is still " + readMetric(name) + ", not " + value);
--- a/node/src/test/java/tansypass/node/ShutdownTest.java
+++ b/node/src/test/java/tansypass/node/ShutdownTest.java
@@ -84,7 +84,7 @@
         try {
             while (!inTime.isDone()) {
                 accepted.add(node.connect());
-                inTime.completeOnTimeout(false, FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+                inTime.completeOnTimeout(false, FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
                 node.loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get();
             }
         } catch (IOException e) {
@@ -107,7 +107,7 @@
         FakePeer.write(attempt, "a".repeat(100_000));
         byte[] rest = client.getInputStream().readAllBytes();
         assertTrue(rest.length > 100_000, "truncated after " + rest.length);
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
--- a/node/src/test/java/tansypass/node/SlowPeerTest.java
+++ b/node/src/test/java/tansypass/node/SlowPeerTest.java
@@ -113,13 +113,13 @@
             });
             try (Socket slow = new Socket()) {
                 slow.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
-                slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+                slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
                 slow.connect(new InetSocketAddress("127.0.0.1", node.port));
                 String request = request(bounds, "POST", "/order", slowId, body);
                 writeByByte(slow, request.substring(0, request.length() - 1));
                 assertServed(1_000 + round);
                 writeByByte(slow, request.substring(request.length() - 1));
-                assertTrue(halfSent.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(halfSent.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
                 assertServed(2_000 + round);
                 release.countDown();
                 String received = round % 2 == 0 ? FakePeer.readMessage(slow) : HttpStreams.readHead(slow);
@@ -188,7 +188,7 @@
         long fromNs = System.nanoTime();
         FakePeer.write(client, request(bounds, method, method.equals("GET") ? "/view" : "/order", 1, ""));
         Socket attempt = FakePeer.awaitNext(server.accepted);
-        assertTrue(started.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(started.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         int served = 0;
         while (client.getInputStream().available() == 0) {
             try {
@@ -210,9 +210,9 @@
 
     /** Asserts that the connection of the attempt is closed. */
     private void awaitEnd(Socket attempt) throws InterruptedException {
-        Socket ended = FakePeer.awaitNext(server.ended);
+        Socket ended = FakePeer.awaitNext(server.closedConnections);
         while (!ended.equals(attempt)) {
-            ended = FakePeer.awaitNext(server.ended);
+            ended = FakePeer.awaitNext(server.closedConnections);
         }
     }
 
--- a/node/src/test/java/tansypass/node/StreamedRequestTest.java
+++ b/node/src/test/java/tansypass/node/StreamedRequestTest.java
@@ -33,7 +33,7 @@
     @BeforeEach
     void listen() throws Exception {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
     }
 
     /** Starts a node with this many known servers, all of which are this test's socket. */
@@ -61,7 +61,7 @@
 
     private Socket accept() throws IOException {
         Socket socket = listener.accept();
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
         return socket;
     }
 
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -158,7 +158,7 @@
         assertThrows(IOException.class, () -> HttpStreams.readChunkedBody(client));
         node.awaitMetric("requests.view.failed", 1);
         node.awaitMetric("in_flight", 0);
-        assertEquals(attempt, FakePeer.awaitNext(server.ended));
+        assertEquals(attempt, FakePeer.awaitNext(server.closedConnections));
         int port = client.getPort();
         client = Fixture.connect(port);
         Socket flowing = startResponse(
@@ -190,7 +190,7 @@
                     chunk.length(),
                     client.getInputStream().readNBytes(chunk.length()).length,
                     "truncated after chunk " + sent);
-            assertNull(server.ended.poll(20, TimeUnit.MILLISECONDS));
+            assertNull(server.closedConnections.poll(20, TimeUnit.MILLISECONDS));
         }
         FakePeer.write(attempt, "0\r\n\r\n");
         assertEquals(0, HttpStreams.readChunkedBody(client).length);
@@ -205,8 +205,8 @@
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n1\r\na\r\n");
         HttpStreams.readHead(client);
-        long giveUpAt = from + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-        while (server.ended.poll(20, TimeUnit.MILLISECONDS) == null && System.nanoTime() < giveUpAt) {
+        long giveUpAt = from + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
+        while (server.closedConnections.poll(20, TimeUnit.MILLISECONDS) == null && System.nanoTime() < giveUpAt) {
             try {
                 FakePeer.write(attempt, "1\r\na\r\n");
             } catch (IOException e) {
@@ -260,7 +260,7 @@
         HttpStreams.write(attempt, 0, 100_000);
         HttpStreams.readHead(client);
         client.close();
-        assertEquals(attempt, FakePeer.awaitNext(server.ended));
+        assertEquals(attempt, FakePeer.awaitNext(server.closedConnections));
         node.awaitMetric("in_flight", 0);
         assertTrue(server.requests.isEmpty(), "retried after the client had disconnected");
     }
@@ -327,7 +327,7 @@
         node.loop.submit(() -> pool.update(list)).get();
         PausingSink sink = new PausingSink();
         node.loop.submit(() -> pool.startAttempt("s-" + server.port(), sink)).get();
-        assertTrue(sink.started.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(sink.started.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         for (int i = 0; i < 100; i++) {
             node.loop.submit(() -> {}).get();
         }
@@ -335,7 +335,7 @@
         assertFalse(sink.finished.await(0, TimeUnit.SECONDS));
         sink.writable = true;
         node.loop.execute(sink.whenWritable);
-        assertTrue(sink.finished.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "reading was not resumed");
+        assertTrue(sink.finished.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS), "reading was not resumed");
         assertEquals(length, sink.receivedBytes.get());
     }
 }
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -98,7 +98,7 @@
                 request -> assertTrue(ids.add(FakePeer.findHeader(request, "X-Txn")), "forwarded twice"));
         assertEquals(sent, ids.size());
         CountDownLatch newStopped = newNode.stop();
-        assertTrue(newStopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(newStopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
         assertThrows(ConnectException.class, this::connect);
     }
 
@@ -138,8 +138,8 @@
                     return starting;
                 })
                 .get();
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "the start never ended");
+        assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
+        assertTrue(ready.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS), "the start never ended");
         assertTrue(ready.isCancelled());
         assertThrows(ConnectException.class, this::connect);
     }
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -71,7 +71,7 @@
 
     private void assertFailsOnce() throws Exception {
         FakePeer.awaitNext(failures);
-        FakePeer.awaitNext(peer.ended);
+        FakePeer.awaitNext(peer.closedConnections);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "reported twice");
     }
@@ -91,7 +91,7 @@
         peer.nextRequest();
         group.next().submit(watch::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "resumes after the latest revision");
-        FakePeer.awaitNext(peer.ended);
+        FakePeer.awaitNext(peer.closedConnections);
         assertTrue(failures.isEmpty(), "a replaced watch has not failed");
     }
 
@@ -224,7 +224,7 @@
         Socket socket = FakePeer.awaitNext(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(socket);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         String failure = null;
         while (failure == null && System.nanoTime() < until) {
             FakePeer.write(socket, "1\r\n{\r\n");
@@ -254,10 +254,10 @@
                     })
                     .get();
             assertTrue(newDiscovery.nextRequest().contains("after=41 "));
-            assertTrue(after.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(after.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             loop.submit(() -> {}).get();
             assertEquals(1, newDiscovery.accepted.size(), "the retry replaced an open watch");
-            assertTrue(newDiscovery.ended.isEmpty());
+            assertTrue(newDiscovery.closedConnections.isEmpty());
             assertEquals(1, peer.requests.size());
         }
     }
--- a/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
@@ -217,7 +217,7 @@
         server.nextRequest();
         loop.submit(() -> attempt.abort(AttemptResult.TIMEOUT)).get();
         assertEquals(AttemptResult.TIMEOUT, handler.awaitReport().result());
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
@@ -261,7 +261,7 @@
             release.countDown();
             AttemptResult result = handler.awaitReport().result();
             if (result != AttemptResult.NOT_SENT) {
-                assertSame(connected, FakePeer.awaitNext(server.ended));
+                assertSame(connected, FakePeer.awaitNext(server.closedConnections));
             }
             loop.submit(() -> {}).get();
             assertTrue(handler.reports.isEmpty(), "reported twice");
--- a/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
@@ -64,7 +64,7 @@
         assertEquals(AttemptResult.NOT_SENT, aborted.awaitReport().result());
         FakePeer.write(used, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
         assertEquals("hello", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
-        assertSame(used, FakePeer.awaitNext(server.ended));
+        assertSame(used, FakePeer.awaitNext(server.closedConnections));
         assertEquals(2, server.requests.size());
     }
 
@@ -94,7 +94,7 @@
 
     private static BlockingQueue<Report> awaitEither(RecordingHandler a, RecordingHandler b)
             throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < until) {
             Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
@@ -119,12 +119,12 @@
             } else {
                 FakePeer.write(idle, unsolicited);
             }
-            assertSame(idle, FakePeer.awaitNext(server.ended));
+            assertSame(idle, FakePeer.awaitNext(server.closedConnections));
             RecordingHandler second = new RecordingHandler(10);
             start(pool, second);
             assertEquals("hello", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
             FakePeer.awaitNext(server.accepted).shutdownOutput();
-            FakePeer.awaitNext(server.ended);
+            FakePeer.awaitNext(server.closedConnections);
         }
     }
 
@@ -134,7 +134,7 @@
         start(openPool(server.address(), 100_000), handler);
         assertEquals(AttemptResult.OK, handler.awaitReport().result());
         // The server never closes connections: the pool has closed this one.
-        FakePeer.awaitNext(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
@@ -145,7 +145,7 @@
         assertEquals(AttemptResult.OK, first.awaitReport().result());
         try (FakePeer moved = new FakePeer(FakePeer.respondWith("200 OK", "", "moved"))) {
             updateEndpoint(pool, moved.address(), 0);
-            FakePeer.awaitNext(server.ended);
+            FakePeer.awaitNext(server.closedConnections);
             RecordingHandler second = new RecordingHandler(10);
             start(pool, second);
             assertEquals("moved", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
