--- a/node/src/main/java/tansypass/platform/EndpointListJsonReader.java
+++ b/node/src/main/java/tansypass/platform/EndpointListJsonReader.java
@@ -13,8 +13,9 @@
 import tansypass.node.endpoint.EndpointList.Endpoint;
 
 /**
- * Reads endpoint lists in discovery's JSON form: the events of a watch, and the list in a node's configuration. A list
- * is accepted completely or rejected, since a part of one would be a list that never existed.
+ * Reads endpoint lists in the JSON format of discovery: the events of a watch, and the initial list in a node's
+ * configuration. A list with an invalid entry is rejected as a whole, because the rest of it would be a list that
+ * discovery has never published.
  */
 public final class EndpointListJsonReader {
     static final String REVISION = "rev";
@@ -36,9 +37,10 @@
     private EndpointListJsonReader() {}
 
     /**
-     * Reads the text of a watch event.
+     * Reads an endpoint list from the text of a watch event.
      *
-     * @throws MalformedEndpointListException if the text is not a valid event
+     * @throws MalformedEndpointListException if the text is not JSON, a required field is missing, or a field is
+     *     malformed
      */
     public static EndpointList read(String text) throws MalformedEndpointListException {
         JsonElement json;
@@ -51,7 +53,8 @@
     }
 
     /**
-     * Reads an endpoint list. If an id occurs more than once, the last entry counts, and a contradiction is logged.
+     * Reads an endpoint list. If several entries have the same id, the last one is used; if they differ, that is
+     * logged.
      *
      * @throws MalformedEndpointListException if a required field is missing, or a field is malformed
      */
@@ -94,7 +97,7 @@
         try {
             return SocketAddressParser.parse(fields.requireText(ADDRESS));
         } catch (InvalidAddressException e) {
-            throw fields.invalid(ADDRESS, "is " + e.getMessage());
+            throw fields.newInvalidValueException(ADDRESS, "is " + e.getMessage());
         }
     }
 
@@ -104,7 +107,7 @@
             case STATE_READY -> ServerState.READY;
             case STATE_DRAINING -> ServerState.DRAINING;
             case STATE_GONE -> ServerState.GONE;
-            default -> throw fields.invalid(STATE, "is unknown: " + state);
+            default -> throw fields.newInvalidValueException(STATE, "is unknown: " + state);
         };
     }
 }
--- a/node/src/main/java/tansypass/platform/EndpointListJsonWriter.java
+++ b/node/src/main/java/tansypass/platform/EndpointListJsonWriter.java
@@ -7,16 +7,16 @@
 import tansypass.node.endpoint.EndpointList;
 import tansypass.node.endpoint.EndpointList.Endpoint;
 
-/** Writes endpoint lists in discovery's JSON form, for stand-ins of discovery. */
+/** Writes endpoint lists in the JSON format of discovery, for test doubles of the discovery agent. */
 public final class EndpointListJsonWriter {
-    /** The kind of machine, which nodes do not read. */
+    /** Key of a server's machine type, which nodes ignore. */
     private static final String MODEL = "model";
 
     private static final String ANY_MODEL = "any";
 
     private EndpointListJsonWriter() {}
 
-    /** Formats a watch event as one line, without a line feed. */
+    /** Formats an endpoint list as a watch event: one line, without the line feed at its end. */
     public static String write(EndpointList list) {
         JsonArray endpoints = new JsonArray();
         for (Endpoint endpoint : list.endpoints()) {
--- a/node/src/main/java/tansypass/platform/EnvironmentConfigSource.java
+++ b/node/src/main/java/tansypass/platform/EnvironmentConfigSource.java
@@ -10,7 +10,10 @@
 import tansypass.node.configuration.InvalidNodeConfigException;
 import tansypass.node.configuration.NodeConfig;
 
-/** Reads the JSON file that {@code LB_CONFIG} names; the platform's other variables override it. Thread-safe. */
+/**
+ * Reads the configuration from the JSON file that the environment variable {@code LB_CONFIG} names. The platform's
+ * other variables override values of the file. Thread-safe.
+ */
 public final class EnvironmentConfigSource implements ConfigSource {
     static final String FILE_VARIABLE = "LB_CONFIG";
     static final String LISTEN_VARIABLE = "LB_LISTEN";
@@ -19,7 +22,7 @@
 
     private final Map<String, String> environment;
 
-    /** Creates a source that follows an environment's variables. */
+    /** Creates a source that uses the variables of an environment. */
     public EnvironmentConfigSource(Map<String, String> environment) {
         this.environment = Map.copyOf(environment);
     }
@@ -29,7 +32,10 @@
         return read(environment);
     }
 
-    /** Reads the file again, which is newer than the variable for discovery's address: that variable is ignored. */
+    /**
+     * Reads the file again. The variable with discovery's address is ignored, because it still has the value from the
+     * start of the process, and the file is newer.
+     */
     @Override
     public NodeConfig reload() throws InvalidNodeConfigException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
@@ -37,7 +43,7 @@
         return read(withoutDiscovery);
     }
 
-    /** Blocks on the file system. */
+    /** Reads and parses the file; blocks on file I/O. */
     private static NodeConfig read(Map<String, String> environment) throws InvalidNodeConfigException {
         String path = environment.getOrDefault(FILE_VARIABLE, "");
         if (path.isEmpty()) {
--- a/node/src/main/java/tansypass/platform/HandshakeSettings.java
+++ b/node/src/main/java/tansypass/platform/HandshakeSettings.java
@@ -5,12 +5,13 @@
 import tansypass.balancer.BalancerSettings;
 
 /**
- * Settings in the form of the simulator's handshake: pairs of path and value. A list of objects has its length under
- * {@code classes.count} and the values of its items under {@code classes.0.name} and so on. Not thread-safe.
+ * Settings in the format of the simulator's handshake: pairs of a path and a value. For a list of objects such as
+ * {@code classes}, {@code classes.count} is the number of items, and {@code classes.0.name} is a value of the first
+ * item. Not thread-safe.
  */
 public final class HandshakeSettings extends SettingsObject {
     private final Map<String, String> values;
-    /** Path of this object with a final dot; empty for the outermost one. */
+    /** Path of this object, ending with a dot; empty for the root. */
     private final String prefix;
 
     private HandshakeSettings(Map<String, String> values, String prefix) {
@@ -19,9 +20,9 @@
     }
 
     /**
-     * Reads the balancer's settings from the pairs of a handshake.
+     * Reads the load balancer's settings from the pairs of a handshake.
      *
-     * @throws InvalidValueException naming the path whose value is missing or invalid
+     * @throws InvalidValueException if a value is missing or invalid; the message names its path
      */
     public static BalancerSettings read(Map<String, String> values) throws InvalidValueException {
         return SettingsReader.read(new HandshakeSettings(values, ""));
@@ -33,22 +34,22 @@
     }
 
     @Override
-    SettingsObject section(String key) {
+    SettingsObject getSection(String key) {
         return new HandshakeSettings(values, prefix + key + ".");
     }
 
     @Override
     int countItems(String key) throws InvalidValueException {
-        return (int) section(key).getLong("count", 0);
+        return (int) getSection(key).getLong("count", 0);
     }
 
     @Override
-    SettingsObject item(String key, int index) {
-        return section(key).section(Integer.toString(index));
+    SettingsObject getItem(String key, int index) {
+        return getSection(key).getSection(Integer.toString(index));
     }
 
     @Override
-    String path(String key) {
+    String formatPath(String key) {
         return prefix + key;
     }
 }
--- a/node/src/main/java/tansypass/platform/InvalidAddressException.java
+++ b/node/src/main/java/tansypass/platform/InvalidAddressException.java
@@ -1,6 +1,6 @@
 package tansypass.platform;
 
-/** A text is not a numeric address with a port; the message contains the text. */
+/** Thrown when a text is not a numeric address with a port; the message contains the text. */
 public final class InvalidAddressException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/tansypass/platform/JsonFields.java
+++ b/node/src/main/java/tansypass/platform/JsonFields.java
@@ -6,15 +6,16 @@
 import com.google.gson.JsonPrimitive;
 
 /**
- * Typed access to the fields of a JSON object. A number may be written as a text; a null is no value.
+ * Typed access to the fields of a JSON object. A number may be written as a string. A field that is null is present,
+ * but has the wrong type.
  *
- * @param path where the object is in its document; empty for the outermost one
- * @param index its index if it is an item of a list at that path, else {@link #NO_INDEX}
+ * @param path path of the object in its document, or of the list that contains it; empty for the root
+ * @param index index of the object in that list; {@link #NO_INDEX} if it is not in a list
  */
 record JsonFields(JsonObject object, String path, int index) {
     static final int NO_INDEX = -1;
 
-    /** Returns the fields of the outermost object of a document. */
+    /** Returns the fields of the root object of a document. */
     static JsonFields ofDocument(JsonObject object) {
         return new JsonFields(object, "", NO_INDEX);
     }
@@ -27,15 +28,18 @@
         if (require(key) instanceof JsonArray array) {
             return array;
         }
-        throw wrongType(key, "list");
+        throw newWrongTypeException(key, "list");
     }
 
-    /** Returns a text; a number or a flag counts as one too. */
+    /** Returns the text of a string, a number or a boolean. */
     String requireText(String key) throws InvalidValueException {
         return requirePrimitive(key, "text").getAsString();
     }
 
-    /** Returns a flag; a text counts as true if it is true, anything else as false. */
+    /**
+     * Returns a flag: true for the boolean true and for the string "true" in upper or lower case, false for any other
+     * value.
+     */
     boolean requireFlag(String key) throws InvalidValueException {
         return requirePrimitive(key, "flag").getAsBoolean();
     }
@@ -45,7 +49,7 @@
         try {
             return value.getAsLong();
         } catch (NumberFormatException e) {
-            throw notANumber(key, value, e);
+            throw newNotANumberException(key, value, e);
         }
     }
 
@@ -54,7 +58,7 @@
         try {
             return value.getAsInt();
         } catch (NumberFormatException e) {
-            throw notANumber(key, value, e);
+            throw newNotANumberException(key, value, e);
         }
     }
 
@@ -63,7 +67,7 @@
         try {
             return value.getAsDouble();
         } catch (NumberFormatException e) {
-            throw notANumber(key, value, e);
+            throw newNotANumberException(key, value, e);
         }
     }
 
@@ -71,30 +75,30 @@
         if (require(key) instanceof JsonPrimitive primitive) {
             return primitive;
         }
-        throw wrongType(key, type);
+        throw newWrongTypeException(key, type);
     }
 
     private JsonElement require(String key) throws InvalidValueException {
         JsonElement value = object.get(key);
         if (value == null) {
-            throw invalid(key, "is missing");
+            throw newInvalidValueException(key, "is missing");
         }
         return value;
     }
 
-    private InvalidValueException wrongType(String key, String expected) {
-        return invalid(key, "is no " + expected + ": " + object.get(key));
+    private InvalidValueException newWrongTypeException(String key, String expected) {
+        return newInvalidValueException(key, "is no " + expected + ": " + object.get(key));
     }
 
-    private InvalidValueException notANumber(String key, JsonPrimitive value, NumberFormatException cause) {
-        return new InvalidValueException(path(key), "is not a number: " + value.getAsString(), cause);
+    private InvalidValueException newNotANumberException(String key, JsonPrimitive value, NumberFormatException cause) {
+        return new InvalidValueException(formatPath(key), "is not a number: " + value.getAsString(), cause);
     }
 
-    InvalidValueException invalid(String key, String problem) {
-        return new InvalidValueException(path(key), problem);
+    InvalidValueException newInvalidValueException(String key, String problem) {
+        return new InvalidValueException(formatPath(key), problem);
     }
 
-    private String path(String key) {
+    private String formatPath(String key) {
         if (path.isEmpty()) {
             return key;
         }
--- a/node/src/main/java/tansypass/platform/JsonSettings.java
+++ b/node/src/main/java/tansypass/platform/JsonSettings.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import tansypass.balancer.BalancerSettings;
 
-/** Settings in the form of nested JSON. A null counts as missing. Not thread-safe. */
+/** Settings in the format of nested JSON objects. A key whose value is null counts as missing. Not thread-safe. */
 final class JsonSettings extends SettingsObject {
     private final JsonObject values;
     private final String path;
@@ -17,10 +17,10 @@
     }
 
     /**
-     * Reads the balancer's settings.
+     * Reads the load balancer's settings.
      *
-     * @param path where the settings are in their document, for errors
-     * @throws InvalidValueException naming the path whose value is missing or invalid
+     * @param path path of the settings in their document, for error messages
+     * @throws InvalidValueException if a value is missing or invalid; the message names its path
      */
     static BalancerSettings read(JsonObject settings, String path) throws InvalidValueException {
         return SettingsReader.read(new JsonSettings(settings, path));
@@ -36,19 +36,19 @@
             return Optional.of(value.getAsString());
         }
         JsonArray items = value.getAsJsonArray();
-        return isObjectList(items) ? Optional.empty() : Optional.of(join(key, items));
+        return isObjectList(items) ? Optional.empty() : Optional.of(joinByCommas(key, items));
     }
 
     private static boolean isObjectList(JsonArray items) {
         return !items.isEmpty() && items.get(0).isJsonObject();
     }
 
-    private String join(String key, JsonArray items) throws InvalidValueException {
+    private String joinByCommas(String key, JsonArray items) throws InvalidValueException {
         StringBuilder joined = new StringBuilder();
         for (int i = 0; i < items.size(); i++) {
             JsonElement item = items.get(i);
             if (!item.isJsonPrimitive() && !item.isJsonNull()) {
-                throw invalid(key, "has a value of the wrong form: " + item);
+                throw newInvalidValueException(key, "has a value of the wrong form: " + item);
             }
             joined.append(i == 0 ? "" : ",").append(item.isJsonNull() ? "" : item.getAsString());
         }
@@ -56,8 +56,8 @@
     }
 
     @Override
-    SettingsObject section(String key) {
-        return new JsonSettings(asObject(values.get(key)), path(key));
+    SettingsObject getSection(String key) {
+        return new JsonSettings(asObject(values.get(key)), formatPath(key));
     }
 
     @Override
@@ -67,8 +67,8 @@
     }
 
     @Override
-    SettingsObject item(String key, int index) {
-        return new JsonSettings(asObject(values.getAsJsonArray(key).get(index)), path(key) + "[" + index + "]");
+    SettingsObject getItem(String key, int index) {
+        return new JsonSettings(asObject(values.getAsJsonArray(key).get(index)), formatPath(key) + "[" + index + "]");
     }
 
     private static JsonObject asObject(JsonElement value) {
@@ -76,7 +76,7 @@
     }
 
     @Override
-    String path(String key) {
+    String formatPath(String key) {
         return path + "." + key;
     }
 }
--- a/node/src/main/java/tansypass/platform/MalformedEndpointListException.java
+++ b/node/src/main/java/tansypass/platform/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package tansypass.platform;
 
-/** A text is not a valid endpoint list; the exception's message gives the reason in one line, with the value. */
+/** Thrown when a text is not a valid endpoint list; the message gives the reason in one line, with the value. */
 public final class MalformedEndpointListException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/tansypass/platform/NodeConfigJsonReader.java
+++ b/node/src/main/java/tansypass/platform/NodeConfigJsonReader.java
@@ -14,7 +14,10 @@
 import tansypass.node.endpoint.EndpointList;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** Reads a node's configuration in the platform's JSON form, and the variables that override it. Not thread-safe. */
+/**
+ * Reads a node's configuration in the platform's JSON format, and the environment variables that override its values.
+ * Not thread-safe.
+ */
 public final class NodeConfigJsonReader {
     private static final String LISTEN = "listen";
     private static final String DISCOVERY = "discovery";
@@ -25,11 +28,14 @@
     private static final String INITIAL_ENDPOINTS = "known";
     private static final String SETTINGS = "settings";
 
-    /** The value for no discovery agent; an address that is missing is an error, since it may be forgotten. */
+    /**
+     * The value that states that there is no discovery agent. A missing address is an error instead, because it may
+     * have been forgotten.
+     */
     private static final String NO_DISCOVERY = "none";
 
     private static final int DEFAULT_MAX_DESCRIPTORS = 1_024;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private final JsonObject json;
     private final Map<String, String> environment;
@@ -42,7 +48,7 @@
     /**
      * Reads a configuration.
      *
-     * @param environment the platform's variables, which take precedence over the text
+     * @param environment the environment variables; those of the platform override values of the text
      * @throws InvalidNodeConfigException if the text is not a JSON object, or a value is missing or invalid
      */
     public static NodeConfig read(String text, Map<String, String> environment) throws InvalidNodeConfigException {
@@ -50,20 +56,20 @@
         try {
             json = JsonParser.parseString(text);
         } catch (JsonParseException e) {
-            throw new InvalidNodeConfigException(noObject(e.getMessage()), e);
+            throw new InvalidNodeConfigException(formatNotAnObject(e.getMessage()), e);
         }
         if (!(json instanceof JsonObject object)) {
-            throw new InvalidNodeConfigException(noObject(json.toString()));
+            throw new InvalidNodeConfigException(formatNotAnObject(json.toString()));
         }
         return new NodeConfigJsonReader(object, environment).read();
     }
 
-    private static String noObject(String reason) {
+    private static String formatNotAnObject(String reason) {
         return EnvironmentConfigSource.FILE_VARIABLE + " holds no JSON object: " + reason;
     }
 
     private NodeConfig read() throws InvalidNodeConfigException {
-        // The order decides which of several errors is reported.
+        // If several values are invalid, the order of these calls decides which one is reported.
         BalancerSettings settings = readSettings();
         EndpointList initialEndpoints = readInitialEndpoints();
         return new NodeConfig(
@@ -110,7 +116,7 @@
             throw new InvalidNodeConfigException(SEED + " is missing");
         }
         try {
-            return Long.parseUnsignedLong(seed.getAsString(), HEXADECIMAL);
+            return Long.parseUnsignedLong(seed.getAsString(), HEX_RADIX);
         } catch (NumberFormatException e) {
             throw new InvalidNodeConfigException(
                     SEED + " is not a hexadecimal number of up to 16 digits: " + seed.getAsString(), e);
@@ -130,7 +136,7 @@
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
 
-    /** Parses a number as JSON allows it, such as 1e3, and drops its fraction. */
+    /** Parses a number in any notation that JSON allows, such as 1e3, and drops the fraction. */
     private static long parseNumber(String key, String text) throws InvalidNodeConfigException {
         try {
             return (long) Double.parseDouble(text);
--- a/node/src/main/java/tansypass/platform/RequestClassKey.java
+++ b/node/src/main/java/tansypass/platform/RequestClassKey.java
@@ -1,8 +1,8 @@
 package tansypass.platform;
 
 /**
- * The keys of a request class on the platform's wire, each with the component of {@link
- * tansypass.balancer.RequestClass} that it sets.
+ * The platform's keys for a request class, each with the component of {@link tansypass.balancer.RequestClass} that it
+ * sets.
  */
 enum RequestClassKey {
     NAME("name", "name"),
@@ -24,7 +24,7 @@
         this.component = component;
     }
 
-    /** Returns the key that sets a component; there is one for each. */
+    /** Returns the key that sets a component of a request class; each component has one. */
     static RequestClassKey ofComponent(String component) {
         for (RequestClassKey key : values()) {
             if (key.component.equals(component)) {
--- a/node/src/main/java/tansypass/platform/SettingKey.java
+++ b/node/src/main/java/tansypass/platform/SettingKey.java
@@ -1,8 +1,8 @@
 package tansypass.platform;
 
 /**
- * The keys of the settings on the platform's wire, each with the component of {@link
- * tansypass.balancer.BalancerSettings} that it sets.
+ * The platform's keys for settings, each with the component of {@link tansypass.balancer.BalancerSettings} that it
+ * sets.
  */
 enum SettingKey {
     NODES("", "balancers", "nodes"),
@@ -18,7 +18,7 @@
     HEDGING("limits", "parallelTries", "hedging"),
     CANCEL("limits", "cancelling", "cancel"),
     PROBES("limits", "probes", "probes"),
-    /** A flag that sets no component itself: {@link #MAX_RETRY_AFTER} counts only if it is set. */
+    /** A flag that sets no component: {@link #MAX_RETRY_AFTER} is ignored unless this flag is true. */
     RETRY_AFTER("limits", "retryAfter", ""),
     MAX_RETRY_AFTER("limits", "maxRetryAfterUs", "maxRetryAfterUs"),
     CONNECT_TIMEOUT("limits", "dialTimeoutUs", "connectTimeoutUs"),
@@ -43,7 +43,7 @@
         this.component = component;
     }
 
-    /** Returns the key that sets a component; there is one for each that can be out of range. */
+    /** Returns the key that sets a component of the settings; each component that can be out of range has one. */
     static SettingKey ofComponent(String component) {
         for (SettingKey key : values()) {
             if (key.component.equals(component)) {
@@ -53,7 +53,7 @@
         throw new IllegalArgumentException("no key sets " + component);
     }
 
-    /** Returns the name of the object that the key is in; empty for the outermost one. */
+    /** Returns the name of the object that contains the key; empty for the root. */
     String section() {
         return section;
     }
--- a/node/src/main/java/tansypass/platform/SettingsObject.java
+++ b/node/src/main/java/tansypass/platform/SettingsObject.java
@@ -4,60 +4,61 @@
 import java.util.Optional;
 
 /**
- * A read-only view of one object of the settings, in one of the forms of the platform's wire. Both forms write numbers
- * and flags in the same way, so that a view has to find texts only. Not thread-safe.
+ * A read-only view of one object of the settings, independent of the platform's format. The formats (JSON and the
+ * simulator's handshake) write numbers and flags alike, so a subclass only finds the texts of values, and this class
+ * parses them. Not thread-safe.
  */
 abstract class SettingsObject {
 
     /**
-     * Returns the text of a value that is neither an object nor a list of objects; empty if there is none. The items of
-     * a list are joined by commas.
+     * Returns the text of a value; empty if the key is missing, or if its value is an object or a list of objects. The
+     * items of any other list are joined by commas.
      *
-     * @throws InvalidValueException if the value has a form that is no text
+     * @throws InvalidValueException if the value has no text, such as a list of lists
      */
     abstract Optional<String> findText(String key) throws InvalidValueException;
 
-    /** Returns the object under a key; one without values if there is none. */
-    abstract SettingsObject section(String key);
+    /** Returns the object under a key; an object without values if there is none. */
+    abstract SettingsObject getSection(String key);
 
     /**
      * Returns the number of objects in the list under a key; 0 if there is no list of objects.
      *
-     * @throws InvalidValueException if the form gives the number as a value, and this is none
+     * @throws InvalidValueException if the format writes the length of a list as a value, and that is not a number
      */
     abstract int countItems(String key) throws InvalidValueException;
 
-    /** Returns an object of the list under a key, from 0 on. */
-    abstract SettingsObject item(String key, int index);
+    /** Returns the object at an index, counted from 0, in the list under a key. */
+    abstract SettingsObject getItem(String key, int index);
 
-    /** Returns a key with its path, as this form writes it. */
-    abstract String path(String key);
+    /** Returns the path of a key, as the format writes it. */
+    abstract String formatPath(String key);
 
     final boolean has(String key) throws InvalidValueException {
         return findText(key).isPresent();
     }
 
     final String requireText(String key) throws InvalidValueException {
-        return findText(key).orElseThrow(() -> invalid(key, "is missing"));
+        return findText(key).orElseThrow(() -> newInvalidValueException(key, "is missing"));
     }
 
     final String getText(String key, String defaultValue) throws InvalidValueException {
         return findText(key).orElse(defaultValue);
     }
 
-    /** Returns the items of a list of texts; none if it is missing or empty. */
+    /** Returns the items of a list of texts; an empty list if the key is missing or its value is empty. */
     final List<String> getTexts(String key) throws InvalidValueException {
         String text = getText(key, "");
         return text.isEmpty() ? List.of() : List.of(text.split(","));
     }
 
-    /** Returns whether the value is 1 or true; any other one counts as false. */
+    /** Returns whether the value is 1 or true; any other value, or none, counts as false. */
     final boolean getFlag(String key) throws InvalidValueException {
         String text = getText(key, "0");
         return text.equals("1") || text.equals("true");
     }
 
-    /** Returns a number without its fraction. */
+    /** Returns a number, whose fraction is dropped. */
     final long requireLong(String key) throws InvalidValueException {
         return (long) requireDouble(key);
     }
@@ -71,7 +72,7 @@
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new InvalidValueException(path(key), "is not a number: " + text, e);
+            throw new InvalidValueException(formatPath(key), "is not a number: " + text, e);
         }
     }
 
@@ -79,8 +80,8 @@
         return has(key) ? requireDouble(key) : defaultValue;
     }
 
-    /** Returns an exception that names the key with its path. */
-    final InvalidValueException invalid(String key, String problem) {
-        return new InvalidValueException(path(key), problem);
+    /** Creates an exception whose message names the path of the key. */
+    final InvalidValueException newInvalidValueException(String key, String problem) {
+        return new InvalidValueException(formatPath(key), problem);
     }
 }
--- a/node/src/main/java/tansypass/platform/SettingsReader.java
+++ b/node/src/main/java/tansypass/platform/SettingsReader.java
@@ -13,9 +13,10 @@
 import tansypass.balancer.Tenant;
 
 /**
- * Converts settings of the platform's wire, in either form, to those of the balancer. Missing settings take the
- * balancer's documented defaults, except for the classes and their required keys; unknown keys are ignored. The
- * simulator and the proxy node share it, so that both run the balancer under the same settings.
+ * Converts the platform's settings, in either of their formats, to those of the load balancer. A missing setting takes
+ * the load balancer's documented default; only the list of classes, the required keys of a class and the name of a
+ * tenant have none. Unknown keys are ignored. The simulator and the proxy node share this class, so both run the load
+ * balancer under the same settings.
  */
 final class SettingsReader {
     private static final String WEIGHT_BY_WORK = "work";
@@ -31,16 +32,16 @@
     }
 
     /**
-     * Reads the outermost object of the settings.
+     * Reads all settings from their root object.
      *
-     * @throws InvalidValueException naming the key whose value is missing or invalid
+     * @throws InvalidValueException if a value is missing or invalid; the message names its path
      */
     static BalancerSettings read(SettingsObject root) throws InvalidValueException {
         return new SettingsReader(root).read();
     }
 
     private BalancerSettings read() throws InvalidValueException {
-        // The order decides which of several errors is reported.
+        // If several values are invalid, the order of these calls decides which one is reported.
         readLong(SettingKey.NODES, nodes -> settings.nodes((int) nodes));
         readZones();
         readClasses();
@@ -56,7 +57,7 @@
         try {
             return settings.build();
         } catch (InvalidSettingException e) {
-            throw new InvalidValueException(wirePath(e), e.problem(), e);
+            throw new InvalidValueException(formatKeyPath(e), e.problem(), e);
         }
     }
 
@@ -64,7 +65,7 @@
         List<String> zones = new ArrayList<>(getTexts(SettingKey.ZONES));
         String localZone = getText(SettingKey.LOCAL_ZONE);
         if (!localZone.isEmpty() && !zones.isEmpty() && !zones.contains(localZone)) {
-            // A node in a zone that is not named is in a zone of its own.
+            // The list of zones does not name the node's own zone: it becomes a further zone.
             zones.add(localZone);
         }
         settings.zones(zones);
@@ -74,7 +75,7 @@
     private void readClasses() throws InvalidValueException {
         int count = root.countItems(SettingKey.CLASSES.wireName());
         for (int i = 0; i < count; i++) {
-            settings.addClass(readClass(root.item(SettingKey.CLASSES.wireName(), i)));
+            settings.addClass(readClass(root.getItem(SettingKey.CLASSES.wireName(), i)));
         }
     }
 
@@ -82,7 +83,7 @@
         List<Tenant> tenants = new ArrayList<>();
         int count = root.countItems(SettingKey.TENANTS.wireName());
         for (int i = 0; i < count; i++) {
-            SettingsObject tenant = root.item(SettingKey.TENANTS.wireName(), i);
+            SettingsObject tenant = root.getItem(SettingKey.TENANTS.wireName(), i);
             tenants.add(new Tenant(tenant.requireText(TENANT_NAME), tenant.getDouble(TENANT_QUOTA, 0)));
         }
         settings.tenants(tenants);
@@ -146,65 +147,65 @@
 
     private static Idempotency readIdempotency(SettingsObject values) throws InvalidValueException {
         String key = RequestClassKey.IDEMPOTENCY.wireName();
-        String repeat = values.requireText(key);
-        return switch (repeat) {
+        String value = values.requireText(key);
+        return switch (value) {
             case "safe" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.KEYED;
             case "unsafe" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw values.invalid(key, "is unknown: " + repeat);
+            default -> throw values.newInvalidValueException(key, "is unknown: " + value);
         };
     }
 
     private static DeduplicationScope readDeduplicationScope(SettingsObject values) throws InvalidValueException {
         String key = RequestClassKey.DEDUPLICATION_SCOPE.wireName();
-        String group = values.getText(key, "all");
-        return switch (group) {
+        String value = values.getText(key, "all");
+        return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw values.invalid(key, "is unknown: " + group);
+            default -> throw values.newInvalidValueException(key, "is unknown: " + value);
         };
     }
 
-    /** Returns the path of the key that sets a component of the balancer's settings. */
-    private String wirePath(InvalidSettingException invalid) {
+    /** Returns the path of the key that has set the invalid component, as written in the input. */
+    private String formatKeyPath(InvalidSettingException invalid) {
         if (invalid.classIndex().isPresent()) {
-            SettingsObject requestClass = root.item(
+            SettingsObject requestClass = root.getItem(
                     SettingKey.CLASSES.wireName(), invalid.classIndex().getAsInt());
-            return requestClass.path(
+            return requestClass.formatPath(
                     RequestClassKey.ofComponent(invalid.component()).wireName());
         }
         SettingKey key = SettingKey.ofComponent(invalid.component());
-        return sectionOf(key).path(key.wireName());
+        return getSection(key).formatPath(key.wireName());
     }
 
-    private SettingsObject sectionOf(SettingKey key) {
-        return key.section().isEmpty() ? root : root.section(key.section());
+    private SettingsObject getSection(SettingKey key) {
+        return key.section().isEmpty() ? root : root.getSection(key.section());
     }
 
     private String getText(SettingKey key) throws InvalidValueException {
-        return sectionOf(key).getText(key.wireName(), "");
+        return getSection(key).getText(key.wireName(), "");
     }
 
     private List<String> getTexts(SettingKey key) throws InvalidValueException {
-        return sectionOf(key).getTexts(key.wireName());
+        return getSection(key).getTexts(key.wireName());
     }
 
     private boolean getFlag(SettingKey key) throws InvalidValueException {
-        return sectionOf(key).getFlag(key.wireName());
+        return getSection(key).getFlag(key.wireName());
     }
 
-    /** Passes a number to its setter, or leaves the default if the key is missing. */
+    /** Passes the whole part of a number to its setter, or leaves the default if the key is missing. */
     private void readLong(SettingKey key, LongConsumer setter) throws InvalidValueException {
-        SettingsObject section = sectionOf(key);
+        SettingsObject section = getSection(key);
         if (section.has(key.wireName())) {
             setter.accept(section.requireLong(key.wireName()));
         }
     }
 
-    /** As {@link #readLong}, with the fraction. */
+    /** Passes a number to its setter, or leaves the default if the key is missing. */
     private void readDouble(SettingKey key, DoubleConsumer setter) throws InvalidValueException {
-        SettingsObject section = sectionOf(key);
+        SettingsObject section = getSection(key);
         if (section.has(key.wireName())) {
             setter.accept(section.requireDouble(key.wireName()));
         }
--- a/node/src/main/java/tansypass/platform/SocketAddressParser.java
+++ b/node/src/main/java/tansypass/platform/SocketAddressParser.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.regex.Pattern;
 
-/** Parses the addresses of the platform's JSON and variables. */
+/** Parses the addresses in the platform's JSON and in its environment variables. */
 public final class SocketAddressParser {
     private static final Pattern HOST = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+\\]");
     private static final Pattern PORT = Pattern.compile("[0-9]{1,5}");
@@ -12,8 +12,8 @@
     private SocketAddressParser() {}
 
     /**
-     * Parses a numeric host and a port, such as {@code 10.0.0.7:80} or {@code [::1]:80}. Names are rejected: there is
-     * no DNS, and resolving one would block the event loop.
+     * Parses a numeric host and a port, such as {@code 10.0.0.7:80} or {@code [::1]:80}. Host names are rejected: there
+     * is no DNS, and resolving a name would block the event loop.
      *
      * @throws InvalidAddressException if the text is not such an address
      */
--- a/node/src/main/java/tansypass/platform/TrainingConfig.java
+++ b/node/src/main/java/tansypass/platform/TrainingConfig.java
@@ -4,9 +4,12 @@
 import tansypass.node.configuration.InvalidNodeConfigException;
 import tansypass.node.configuration.NodeConfig;
 
-/** The configuration of the build's training run, read from JSON so that the run loads the readers' classes too. */
+/**
+ * The configuration of the training run with which the build creates the class data sharing archive. It is parsed from
+ * JSON, so the archive also contains the classes that read a configuration.
+ */
 public final class TrainingConfig {
-    /** Port 1 refuses connections, so that the failures of discovery and of an attempt are part of the run. */
+    /** Port 1 refuses connections, so the run also covers a failed watch and a failed attempt. */
     private static final String JSON = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
              "known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a",
@@ -17,7 +20,7 @@
 
     private TrainingConfig() {}
 
-    /** Reads the configuration. */
+    /** Returns the configuration of the training run. */
     public static NodeConfig read() {
         try {
             return NodeConfigJsonReader.read(JSON, Map.of());
--- a/node/src/test/java/tansypass/node/ChildNodeProcess.java
+++ b/node/src/test/java/tansypass/node/ChildNodeProcess.java
@@ -76,7 +76,9 @@
         output.awaitText(expected, PATIENCE);
     }
 
-    /** Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#AWAIT_TIMEOUT_S}. */
+    /**
+     * Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#AWAIT_TIMEOUT_S}.
+     */
     String awaitOutputEnd() throws InterruptedException {
         return output.awaitEnd(PATIENCE);
     }
--- a/node/src/test/java/tansypass/platform/EndpointListJsonReaderTest.java
+++ b/node/src/test/java/tansypass/platform/EndpointListJsonReaderTest.java
@@ -17,14 +17,14 @@
 import tansypass.balancer.ServerState;
 import tansypass.node.endpoint.EndpointList;
 
-/** Parsing of endpoint lists with duplicate entries and with many of them. */
+/** Parsing of endpoint lists with duplicate entries and with thousands of entries. */
 class EndpointListJsonReaderTest {
     private static final Logger LOG = Logger.getLogger(EndpointList.class.getName());
-    private final List<String> logged = new ArrayList<>();
+    private final List<String> loggedMessages = new ArrayList<>();
     private final Handler logHandler = new Handler() {
         @Override
         public void publish(LogRecord logRecord) {
-            logged.add(new SimpleFormatter().formatMessage(logRecord));
+            loggedMessages.add(new SimpleFormatter().formatMessage(logRecord));
         }
 
         @Override
@@ -44,7 +44,7 @@
         LOG.removeHandler(logHandler);
     }
 
-    private static String entry(String id, int port, String state) {
+    private static String formatEntry(String id, int port, String state) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + port + "\",\"state\":\"" + state + "\"}";
     }
 
@@ -54,30 +54,31 @@
 
     @Test
     void theLastOfConflictingEntriesWinsAndIsLogged() throws MalformedEndpointListException {
-        EndpointList list =
-                parseList(entry("a", 1, "Ready") + "," + entry("b", 2, "Ready") + "," + entry("a", 3, "Terminating"));
+        EndpointList list = parseList(formatEntry("a", 1, "Ready") + "," + formatEntry("b", 2, "Ready") + ","
+                + formatEntry("a", 3, "Terminating"));
         assertEquals(
                 List.of("a", "b"),
                 list.endpoints().stream().map(EndpointList.Endpoint::id).toList());
         assertEquals(3, list.endpoints().get(0).address().getPort());
         assertEquals(ServerState.DRAINING, list.endpoints().get(0).state());
-        assertEquals(List.of("conflicting entries in endpoint list, last one wins: revision=7 server=a"), logged);
+        assertEquals(
+                List.of("conflicting entries in endpoint list, last one wins: revision=7 server=a"), loggedMessages);
     }
 
     @Test
     void identicalDuplicateEntriesAreNotLogged() throws MalformedEndpointListException {
         assertEquals(
                 1,
-                parseList(entry("a", 1, "Ready") + "," + entry("a", 1, "Ready"))
+                parseList(formatEntry("a", 1, "Ready") + "," + formatEntry("a", 1, "Ready"))
                         .endpoints()
                         .size());
-        assertEquals(List.of(), logged);
+        assertEquals(List.of(), loggedMessages);
     }
 
     @Test
     void thousandsOfEntriesKeepTheirOrder() throws MalformedEndpointListException {
         String entries = IntStream.range(0, 5_000)
-                .mapToObj(i -> entry("s" + i, 1 + i, "Ready"))
+                .mapToObj(i -> formatEntry("s" + i, 1 + i, "Ready"))
                 .collect(Collectors.joining(","));
         EndpointList list = parseList(entries);
         assertEquals(5_000, list.endpoints().size());
--- a/node/src/test/java/tansypass/platform/InvalidValuesTest.java
+++ b/node/src/test/java/tansypass/platform/InvalidValuesTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.configuration.InvalidNodeConfigException;
 
-/** An error names the key as written, with its value, in the platform's JSON and in the simulator's handshake. */
+/**
+ * Errors for invalid values, in the platform's JSON and in the simulator's handshake: the message names the key as it
+ * was written, and its value.
+ */
 class InvalidValuesTest {
     private static final String CONFIG = """
             {"listen":"127.0.0.1:0","discovery":"none","seed":"1","limits":{"sockets":100},
@@ -39,7 +42,7 @@
             "classes.0.onTimeUs", "1",
             "classes.0.giveUpUs", "2");
 
-    /** Keys whose every value is accepted. */
+    /** Keys for which every value is valid. */
     private static final Set<String> KEYS_WITHOUT_INVALID_VALUE = Set.of(
             "zones",
             "myZone",
@@ -53,6 +56,7 @@
             "classes.0.name",
             "classes.0.stream");
 
+    /** Rows of key, invalid value and expected problem. */
     private static final String[] INVALID_SETTINGS = {
         "balancers|0|is under 1: 0",
         "balancers|x|is not a number: x",
@@ -117,7 +121,7 @@
         parent.getAsJsonObject().add(keys[keys.length - 1], value);
     }
 
-    private static String messageForJson(String path, JsonElement value) {
+    private static String readErrorMessage(String path, JsonElement value) {
         JsonObject config = parse(CONFIG);
         set(config, path, value);
         return assertThrows(
@@ -126,18 +130,18 @@
     }
 
     @Test
-    void eachSettingIsCovered() {
-        Set<String> covered = new TreeSet<>(KEYS_WITHOUT_INVALID_VALUE);
+    void eachSettingHasARowOrNoInvalidValue() {
+        Set<String> coveredKeys = new TreeSet<>(KEYS_WITHOUT_INVALID_VALUE);
         for (String row : INVALID_SETTINGS) {
-            covered.add(row.substring(0, row.indexOf('|')));
+            coveredKeys.add(row.substring(0, row.indexOf('|')));
         }
-        Set<String> all = new TreeSet<>(Set.of("realms.0.quotaPerS"));
+        Set<String> allKeys = new TreeSet<>(Set.of("realms.0.quotaPerS"));
         for (SettingKey key : SettingKey.values()) {
-            all.add(key.section().isEmpty() ? key.wireName() : key.section() + "." + key.wireName());
+            allKeys.add(key.section().isEmpty() ? key.wireName() : key.section() + "." + key.wireName());
         }
-        all.removeAll(Set.of("classes", "realms"));
-        Arrays.stream(RequestClassKey.values()).forEach(key -> all.add("classes.0." + key.wireName()));
-        assertEquals(all, covered);
+        allKeys.removeAll(Set.of("classes", "realms"));
+        Arrays.stream(RequestClassKey.values()).forEach(key -> allKeys.add("classes.0." + key.wireName()));
+        assertEquals(allKeys, coveredKeys);
     }
 
     @Test
@@ -151,7 +155,7 @@
             assertEquals(columns[0] + " " + columns[2], e.getMessage());
             assertEquals(
                     "settings." + columns[0].replace(".0.", "[0].") + " " + columns[2],
-                    messageForJson(
+                    readErrorMessage(
                             "settings." + columns[0],
                             parse("{\"v\":\"" + columns[1] + "\"}").get("v")));
         }
@@ -168,7 +172,7 @@
         assertEquals(path + " is missing", e.getMessage());
         assertEquals(
                 "settings." + path.replace(".0.", "[0].") + " is missing",
-                messageForJson("settings." + path, JsonNull.INSTANCE));
+                readErrorMessage("settings." + path, JsonNull.INSTANCE));
     }
 
     @ParameterizedTest
@@ -200,7 +204,7 @@
     void anInvalidValueOfTheConfigurationIsNamedAsWritten(String path, String value, String message) {
         assertEquals(
                 message.replace("LIST", "known: not an endpoint list:"),
-                messageForJson(
+                readErrorMessage(
                         path, parse("{\"v\":" + value.replace('\'', '"') + "}").get("v")));
     }
 
--- a/node/src/test/java/tansypass/platform/PlatformNamesTest.java
+++ b/node/src/test/java/tansypass/platform/PlatformNamesTest.java
@@ -13,7 +13,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names are in the edge package and nowhere else; names that are the field's terms too are left out. */
+/**
+ * The platform's names occur in the package {@code platform} and nowhere else. Names that are also terms of the field
+ * are not checked.
+ */
 class PlatformNamesTest {
     private static final Set<String> NAMES =
             new TreeSet<>(List.of(("known targets uid az pod_group capacity_hint boot_ms Terminating "
@@ -24,19 +27,19 @@
                             + "onTimeUs aimStretch giveUpUs importance lateWorth windowUs "
                             + "concurrent depth load_share mean_ms tps err_ps")
                     .split(" ")));
-    /** Part of a text: in quotes, of a path, or before an equals sign. */
+    /** A name inside a string literal: the whole text, a part of a path, or before an equals sign. */
     private static final Pattern NAME_IN_TEXT =
             Pattern.compile("(?<=[\"./ ])(" + String.join("|", NAMES) + ")(?=[\".=])");
 
     private static final Pattern COMMENT = Pattern.compile("/\\*.*?\\*/", Pattern.DOTALL);
     private static final Pattern LITERAL =
             Pattern.compile("'(?:\\\\.|[^'\\\\])'|\"\"\".*?\"\"\"|\"(\\\\.|[^\"\\\\\n])*\"", Pattern.DOTALL);
-    /** The module config is left out: its TOML keys are a format of its own, which shares some of the names. */
+    /** Main code without the module config, whose TOML keys are a separate format that shares some of the names. */
     private static final List<Path> MAIN_CODE = Stream.of("node", "cluster", "testbed", "cli")
             .map(module -> Path.of("..", module, "src/main/java/tansypass"))
             .toList();
 
-    private static final Path EDGE = MAIN_CODE.get(0).resolve("platform");
+    private static final Path PLATFORM_PACKAGE = MAIN_CODE.get(0).resolve("platform");
 
     private static Set<String> findNames(Path file) throws IOException {
         String code = COMMENT.matcher(Files.readString(file)).replaceAll("");
@@ -55,20 +58,20 @@
     }
 
     @Test
-    void onlyTheEdgeSpellsNamesOfThePlatform() throws IOException {
-        Set<String> inEdge = new TreeSet<>();
-        Set<String> elsewhere = new TreeSet<>();
+    void onlyThePlatformPackageSpellsThePlatformsNames() throws IOException {
+        Set<String> namesInPackage = new TreeSet<>();
+        Set<String> namesElsewhere = new TreeSet<>();
         for (Path folder : MAIN_CODE) {
             for (Path file : findSources(folder)) {
                 Set<String> names = findNames(file);
-                if (file.startsWith(EDGE)) {
-                    inEdge.addAll(names);
+                if (file.startsWith(PLATFORM_PACKAGE)) {
+                    namesInPackage.addAll(names);
                 } else {
-                    names.forEach(name -> elsewhere.add(file + ": " + name));
+                    names.forEach(name -> namesElsewhere.add(file + ": " + name));
                 }
             }
         }
-        assertEquals(NAMES, inEdge);
-        assertEquals(Set.of(), elsewhere);
+        assertEquals(NAMES, namesInPackage);
+        assertEquals(Set.of(), namesElsewhere);
     }
 }
