--- a/node/src/test/java/tansypass/node/ExternalNamesTest.java
+++ b/node/src/test/java/tansypass/node/ExternalNamesTest.java
@@ -2,11 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -14,9 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import tansypass.balancer.BalancerSettings;
 import tansypass.node.admin.NodeMetrics;
 import tansypass.node.lifecycle.Lifecycle;
 import tansypass.platform.EndpointListJsonReader;
+import tansypass.platform.HandshakeSettings;
+import tansypass.platform.InvalidValueException;
 import tansypass.platform.MalformedEndpointListException;
 
 /** External names, recorded before any rename: a change here breaks operators or the platform. */
@@ -65,6 +71,35 @@
         assertEquals("{FAILED= 204 302 400 500 502 504, REFUSED= 429 503, SERVED= 200}", outcomes.toString());
     }
 
+    private static BalancerSettings readSettings(String key, String value) throws InvalidValueException {
+        Map<String, String> settings = new HashMap<>(Map.of(
+                "classes.count", "1",
+                "classes.0.name", "view",
+                "classes.0.repeat", "safe",
+                "classes.0.onTimeUs", "1",
+                "classes.0.giveUpUs", "2"));
+        settings.put(key, value);
+        return HandshakeSettings.read(settings);
+    }
+
+    @Test
+    void valuesOfSettingsStayAsRecorded() throws InvalidValueException {
+        assertTrue(readSettings("countedBy", "work").weightByWork());
+        assertTrue(readSettings("membershipMode", "on_request").listPolling());
+        List<String> values = new ArrayList<>();
+        for (String repeat : List.of("safe", "keyed", "unsafe")) {
+            values.add(readSettings("classes.0.repeat", repeat).classes().get(0).idempotency() + "");
+        }
+        for (String group : List.of("all", "zone", "cell")) {
+            values.add(readSettings("classes.0.group", group).classes().get(0).deduplicationScope() + "");
+        }
+        String fields = "concurrent,depth,load_share,mean_ms,tps,err_ps";
+        assertEquals("[IDEMPOTENT, KEYED, NON_IDEMPOTENT, ALL, ZONE, CELL]", values.toString());
+        assertEquals(
+                "[IN_FLIGHT, QUEUED, UTILISATION, LATENCY_MS, SERVED_PER_S, ERRORS_PER_S]",
+                readSettings("report.fields", fields).reportFields().toString());
+    }
+
     @Test
     void endpointFieldsStayAsRecorded() throws MalformedEndpointListException {
         for (Map.Entry<String, String> state : Map.of("Ready", "READY", "Terminating", "DRAINING", "Gone", "GONE")
--- a/node/src/test/java/tansypass/node/admin/AdminServerTest.java
+++ b/node/src/test/java/tansypass/node/admin/AdminServerTest.java
@@ -130,6 +130,17 @@
         assertEquals(Lifecycle.State.STARTING, lifecycle.state());
     }
 
+    @Test
+    void responseBodiesStayAsRecorded() throws Exception {
+        listen(60_000);
+        assertTrue(call("\u0001\u0002 what\r\n\r\n").endsWith("\r\n\r\nmalformed call\n"));
+        assertTrue(call("GET / HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nno such call\n"));
+        assertTrue(call("GET /_lameduck/on HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nuse POST\n"));
+        assertTrue(call("POST /_lameduck/on HTTP/1.1\r\nContent-Length: 5000\r\n\r\n")
+                .endsWith("\r\n\r\ncall too long\n"));
+        assertTrue(call("GET /_ready HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nSTARTING\n"));
+    }
+
     @Test
     void metricsAreListedByName() throws Exception {
         listen(60_000);
--- a/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
@@ -1,15 +1,22 @@
 package tansypass.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import tansypass.balancer.AttemptResult;
 import tansypass.platform.HandshakeSettings;
 import tansypass.platform.InvalidValueException;
 
@@ -70,6 +77,29 @@
             next
             """;
 
+    private static final String BOOT = "begin_batch timeUs=1000000\nboot node=n initSeed=5 classes.count=1"
+            + " classes.0.name=view classes.0.giveUpUs=2 classes.0.onTimeUs=1 classes.0.repeat=safe\n";
+
+    private static final String EVENTS = """
+            roster setId=0 nodesList=3
+            server server=a lifecycle=Running
+            server server=b lifecycle=Stopping
+            server server=c lifecycle=Deleted
+            topology node=n setId=0 kind=stale_copy
+            topology node=n setId=0 kind=whole
+            topology node=n setId=0 kind=patch
+            topology node=n kind=broken
+            work_item node=n handle=00000000000000ff lane=view patienceLeftUs=1 realm=0
+            first_byte node=n handle=00000000000000ff seqNo=0
+            resolved node=n handle=00000000000000ff seqNo=0 rc=10
+            client_gone node=n handle=00000000000000ff
+            echo node=n server=a rc=10
+            bell node=n
+            memo node=n
+            shutdown node=n
+            eob
+            """;
+
     /** Remembers each key that is looked up. */
     private static final class RecordingMap extends HashMap<String, String> {
         private static final long serialVersionUID = 1;
@@ -115,6 +145,53 @@
         assertEquals(HANDSHAKE_PATHS, String.join("\n", values.lookedUp) + "\n");
     }
 
+    private static void run(String input) throws Exception {
+        InputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
+        new SimulatorConnection(in, new ByteArrayOutputStream()).run();
+    }
+
+    @Test
+    void eventNamesAndRequiredFieldsStayAsRecorded() throws Exception {
+        run(BOOT + EVENTS);
+    }
+
+    /** A malformed value is an error only if the field is read. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "work_item node=n handle=00000000000000ff lane=view patienceLeftUs=1 F | realm workUs resent",
+                "resolved node=n handle=00000000000000ff seqNo=0 rc=10 F | latencyUs ended metrics",
+                "echo node=n server=a rc=10 F | latencyUs metrics",
+                "roster setId=0 F | nodesList",
+                "roster setId=0 nodesList=1;server server=a lifecycle=Running F | block scale sinceUs"
+            })
+    void optionalFieldsStayAsRecorded(String lines, String fields) {
+        for (String field : fields.split(" ")) {
+            String input = BOOT + lines.replace("F", field + "=x").replace(';', '\n') + "\neob\n";
+            ProtocolException e = assertThrows(ProtocolException.class, () -> run(input), field);
+            assertTrue(e.getMessage().contains(": field " + field + " is "), e.getMessage());
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "10,OK",
+        "20,ERROR",
+        "30,OVERLOADED",
+        "40,TIMEOUT",
+        "50,CONNECT_FAILED",
+        "60,RESET",
+        "70,CANCELLED",
+        "80,NOT_SENT"
+    })
+    void resultCodesStayAsRecorded(int code, AttemptResult result) throws Exception {
+        EventLineReader event =
+                new EventLineReader(new ByteArrayInputStream(("echo rc=" + code).getBytes(StandardCharsets.UTF_8)));
+        assertTrue(event.readNext());
+        assertEquals(result, ResultCode.parse(event));
+    }
+
     @Test
     void actionLinesStayAsRecorded() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
