--- a/node/src/main/java/tansypass/simulator/EventLineReader.java
+++ b/node/src/main/java/tansypass/simulator/EventLineReader.java
@@ -6,25 +6,25 @@
 import java.util.Arrays;
 
 /**
- * Reads events line by line: a name, then key=value fields, separated by single spaces. Fields are parsed in place, so
- * that reading a line allocates nothing. Not thread-safe.
+ * Reads events, one from each line. A line has the event's name and then key=value fields, separated by single spaces.
+ * Fields are parsed in place in the read buffer, so reading a line allocates no memory. Not thread-safe.
  */
 final class EventLineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
     private static final int INITIAL_FIELDS = 16;
-    /** A number of up to this many digits fits a long. */
+    /** Each number of up to this many digits fits in a long. */
     private static final int MAX_DIGITS = 18;
-    /** Length of a request id. */
+    /** Number of hexadecimal digits in a request id. */
     private static final int ID_DIGITS = 16;
 
     private final InputStream in;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     /** Number of bytes that have been read into the buffer. */
-    private int filled;
+    private int bufferedBytes;
     /** Index of the current line's first byte. */
-    private int start;
-    /** Index of the line feed that ends the current line, or of the end of the input if there is none. */
-    private int end;
+    private int lineStart;
+    /** Index of the line feed that ends the current line; index after the last byte if the input ends without one. */
+    private int lineEnd;
 
     private long lineNumber;
 
@@ -32,11 +32,12 @@
     private int nameEnd;
 
     private int fieldCount;
-    /** Buffer indexes of each field's key, of its value, and after its value. */
-    private int[] keyStart = new int[INITIAL_FIELDS];
-
-    private int[] valueStart = new int[INITIAL_FIELDS];
-    private int[] valueEnd = new int[INITIAL_FIELDS];
+    /** Index of the first byte of each field's key. */
+    private int[] keyStarts = new int[INITIAL_FIELDS];
+    /** Index of the first byte of each field's value. */
+    private int[] valueStarts = new int[INITIAL_FIELDS];
+    /** Index after the last byte of each field's value. */
+    private int[] valueEnds = new int[INITIAL_FIELDS];
 
     EventLineReader(InputStream in) {
         this.in = in;
@@ -48,33 +49,33 @@
      * @return false at the end of the input
      */
     boolean readNext() throws IOException {
-        start = lineNumber == 0 ? 0 : end + 1;
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
         lineNumber++;
-        int searched = start;
+        int searchIndex = lineStart;
         while (true) {
-            int lineFeed = indexOfLineFeed(searched);
-            if (lineFeed < filled) {
-                end = lineFeed;
+            int lineFeed = indexOfLineFeed(searchIndex);
+            if (lineFeed < bufferedBytes) {
+                lineEnd = lineFeed;
                 splitLine();
                 return true;
             }
-            makeRoom();
-            searched = filled;
-            int count = in.read(buffer, filled, buffer.length - filled);
-            if (count < 0) {
-                return endLastLine();
+            ensureFreeSpace();
+            searchIndex = bufferedBytes;
+            int readBytes = in.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
+            if (readBytes < 0) {
+                return finishLastLine();
             }
-            filled += count;
+            bufferedBytes += readBytes;
         }
     }
 
-    /** Returns the index of the next line feed, or of the end of the bytes that have been read. */
-    private int indexOfLineFeed(int from) {
-        int at = from;
-        while (at < filled && buffer[at] != '\n') {
-            at++;
+    /** Returns the index of the next line feed, or {@link #bufferedBytes} if none has been read. */
+    private int indexOfLineFeed(int startIndex) {
+        int index = startIndex;
+        while (index < bufferedBytes && buffer[index] != '\n') {
+            index++;
         }
-        return at;
+        return index;
     }
 
     /**
@@ -84,26 +85,26 @@
      */
     void requireNext() throws IOException, ProtocolException {
         if (!readNext()) {
-            throw malformed("the input ends inside a batch");
+            throw newProtocolException("the input ends inside a batch");
         }
     }
 
-    /** Moves the current line to the start of the buffer, and grows a buffer that is full then. */
-    private void makeRoom() {
-        if (start > 0) {
-            System.arraycopy(buffer, start, buffer, 0, filled - start);
-            filled -= start;
-            start = 0;
+    /** Moves the current line to the start of the buffer, and doubles the buffer if it is full even then. */
+    private void ensureFreeSpace() {
+        if (lineStart > 0) {
+            System.arraycopy(buffer, lineStart, buffer, 0, bufferedBytes - lineStart);
+            bufferedBytes -= lineStart;
+            lineStart = 0;
         }
-        if (filled == buffer.length) {
+        if (bufferedBytes == buffer.length) {
             buffer = Arrays.copyOf(buffer, 2 * buffer.length);
         }
     }
 
-    /** Handles the end of the input: returns whether a last line without a line feed was left. */
-    private boolean endLastLine() {
-        end = filled;
-        if (filled == start) {
+    /** Handles the end of the input. Returns true if there was a last line without a line feed. */
+    private boolean finishLastLine() {
+        lineEnd = bufferedBytes;
+        if (bufferedBytes == lineStart) {
             return false;
         }
         splitLine();
@@ -111,101 +112,104 @@
         return true;
     }
 
-    /** Ends the last line with a line feed, for which makeRoom has left space: the next call finds no further line. */
+    /**
+     * Appends a line feed to the last line, so that the next call of {@link #readNext} finds no further line. {@link
+     * #ensureFreeSpace} has left space for it.
+     */
     private void appendLineFeed() {
-        buffer[end] = '\n';
-        filled = end + 1;
+        buffer[lineEnd] = '\n';
+        bufferedBytes = lineEnd + 1;
     }
 
-    /** Finds the bounds of the event's name and of each field of the current line. */
+    /** Finds the indexes at which the event's name and the fields of the current line start and end. */
     private void splitLine() {
-        nameEnd = indexOfSpace(start);
+        nameEnd = indexOfSpace(lineStart);
         fieldCount = 0;
-        int at = nameEnd;
-        while (at < end) {
-            int fieldStart = at + 1;
+        int index = nameEnd;
+        while (index < lineEnd) {
+            int fieldStart = index + 1;
             int keyEnd = indexOfEqualsOrSpace(fieldStart);
             int fieldEnd = indexOfSpace(keyEnd);
             addField(fieldStart, Math.min(keyEnd + 1, fieldEnd), fieldEnd);
-            at = fieldEnd;
+            index = fieldEnd;
         }
     }
 
     private void addField(int firstOfKey, int firstOfValue, int fieldEnd) {
-        if (fieldCount == keyStart.length) {
+        if (fieldCount == keyStarts.length) {
             growFields();
         }
-        keyStart[fieldCount] = firstOfKey;
-        valueStart[fieldCount] = firstOfValue;
-        valueEnd[fieldCount] = fieldEnd;
+        keyStarts[fieldCount] = firstOfKey;
+        valueStarts[fieldCount] = firstOfValue;
+        valueEnds[fieldCount] = fieldEnd;
         fieldCount++;
     }
 
     private void growFields() {
-        int capacity = 2 * keyStart.length;
-        keyStart = Arrays.copyOf(keyStart, capacity);
-        valueStart = Arrays.copyOf(valueStart, capacity);
-        valueEnd = Arrays.copyOf(valueEnd, capacity);
+        int capacity = 2 * keyStarts.length;
+        keyStarts = Arrays.copyOf(keyStarts, capacity);
+        valueStarts = Arrays.copyOf(valueStarts, capacity);
+        valueEnds = Arrays.copyOf(valueEnds, capacity);
     }
 
     /** Returns the index of the next equals sign or space of the current line, or the line's end if there is none. */
-    private int indexOfEqualsOrSpace(int from) {
-        int at = from;
-        while (at < end && buffer[at] != '=' && buffer[at] != ' ') {
-            at++;
+    private int indexOfEqualsOrSpace(int startIndex) {
+        int index = startIndex;
+        while (index < lineEnd && buffer[index] != '=' && buffer[index] != ' ') {
+            index++;
         }
-        return at;
+        return index;
     }
 
     /** Returns the index of the next space of the current line, or the line's end if there is none. */
-    private int indexOfSpace(int from) {
-        int at = from;
-        while (at < end && buffer[at] != ' ') {
-            at++;
+    private int indexOfSpace(int startIndex) {
+        int index = startIndex;
+        while (index < lineEnd && buffer[index] != ' ') {
+            index++;
         }
-        return at;
+        return index;
     }
 
-    /** Returns the name of the event, empty for an empty line. */
-    String name() {
-        return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
+    /** Returns the name of the event; empty for an empty line. */
+    String eventName() {
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
-    /** Returns whether this is the name of the event. */
+    /** Returns whether the current event has this name. */
     boolean isEvent(String name) {
-        return matches(start, nameEnd, name);
+        return matches(lineStart, nameEnd, name);
     }
 
     int fieldCount() {
         return fieldCount;
     }
 
-    String key(int field) {
-        int from = keyStart[field];
-        return new String(buffer, from, Math.max(0, valueStart[field] - 1 - from), StandardCharsets.UTF_8);
+    String fieldKey(int field) {
+        int startIndex = keyStarts[field];
+        return new String(buffer, startIndex, Math.max(0, valueStarts[field] - 1 - startIndex), StandardCharsets.UTF_8);
     }
 
-    String value(int field) {
-        int from = valueStart[field];
-        return new String(buffer, from, valueEnd[field] - from, StandardCharsets.UTF_8);
+    String fieldValue(int field) {
+        int startIndex = valueStarts[field];
+        return new String(buffer, startIndex, valueEnds[field] - startIndex, StandardCharsets.UTF_8);
     }
 
-    private boolean matches(int from, int to, String text) {
-        if (to - from != text.length()) {
+    private boolean matches(int startIndex, int endIndex, String text) {
+        if (endIndex - startIndex != text.length()) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
-            if (buffer[from + i] != text.charAt(i)) {
+            if (buffer[startIndex + i] != text.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Returns the number of the field with a key, or -1 if there is none. */
+    /** Returns the index of the field with a key, or -1 if there is none. */
     private int findField(String key) {
         for (int i = 0; i < fieldCount; i++) {
-            if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
+            if (valueStarts[i] > keyStarts[i] && matches(keyStarts[i], valueStarts[i] - 1, key)) {
                 return i;
             }
         }
@@ -215,19 +219,19 @@
     private int requireField(String key) throws ProtocolException {
         int field = findField(key);
         if (field < 0) {
-            throw malformed(key, "is missing");
+            throw newProtocolException(key, "is missing");
         }
         return field;
     }
 
-    /** Returns a field's text, or the default if the field is missing. */
+    /** Returns the text of a field, or the default if the field is missing. */
     String getText(String key, String defaultValue) {
         int field = findField(key);
-        return field < 0 ? defaultValue : value(field);
+        return field < 0 ? defaultValue : fieldValue(field);
     }
 
     String requireText(String key) throws ProtocolException {
-        return value(requireField(key));
+        return fieldValue(requireField(key));
     }
 
     long requireLong(String key) throws ProtocolException {
@@ -240,18 +244,18 @@
     }
 
     private long parseLong(String key, int field) throws ProtocolException {
-        int at = valueStart[field];
-        int to = valueEnd[field];
-        boolean negative = at < to && buffer[at] == '-';
-        at += negative ? 1 : 0;
-        if (at == to || to - at > MAX_DIGITS) {
-            throw malformed(key, "is not a whole number: " + value(field));
+        int index = valueStarts[field];
+        int endIndex = valueEnds[field];
+        boolean negative = index < endIndex && buffer[index] == '-';
+        index += negative ? 1 : 0;
+        if (index == endIndex || endIndex - index > MAX_DIGITS) {
+            throw newProtocolException(key, "is not a whole number: " + fieldValue(field));
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; index < endIndex; index++) {
+            int digit = buffer[index] - '0';
             if (digit < 0 || digit > 9) {
-                throw malformed(key, "is not a whole number: " + value(field));
+                throw newProtocolException(key, "is not a whole number: " + fieldValue(field));
             }
             value = 10 * value + digit;
         }
@@ -262,36 +266,37 @@
     boolean getFlag(String key) throws ProtocolException {
         int field = findField(key);
         if (field < 0
-                || matches(valueStart[field], valueEnd[field], "0")
-                || matches(valueStart[field], valueEnd[field], "false")) {
+                || matches(valueStarts[field], valueEnds[field], "0")
+                || matches(valueStarts[field], valueEnds[field], "false")) {
             return false;
         }
-        if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
+        if (matches(valueStarts[field], valueEnds[field], "1")
+                || matches(valueStarts[field], valueEnds[field], "true")) {
             return true;
         }
-        throw malformed(key, "is neither 1 nor 0: " + value(field));
+        throw newProtocolException(key, "is neither 1 nor 0: " + fieldValue(field));
     }
 
     double getDouble(String key, double defaultValue) throws ProtocolException {
         int field = findField(key);
-        return field < 0 ? defaultValue : parseDouble(key, value(field));
+        return field < 0 ? defaultValue : parseDouble(key, fieldValue(field));
     }
 
     private double parseDouble(String key, String text) throws ProtocolException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw malformed(key, "is not a number: " + text);
+            throw newProtocolException(key, "is not a number: " + text);
         }
     }
 
     /** Returns numbers separated by commas, or null if the field is missing or empty. */
     double[] getDoubles(String key) throws ProtocolException {
         int field = findField(key);
-        if (field < 0 || valueStart[field] == valueEnd[field]) {
+        if (field < 0 || valueStarts[field] == valueEnds[field]) {
             return null;
         }
-        String[] parts = value(field).split(",", -1);
+        String[] parts = fieldValue(field).split(",", -1);
         double[] values = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
             values[i] = parseDouble(key, parts[i]);
@@ -302,21 +307,21 @@
     /** Returns a request id, written as 16 lowercase hexadecimal digits. */
     long requireId(String key) throws ProtocolException {
         int field = requireField(key);
-        if (valueEnd[field] - valueStart[field] != ID_DIGITS) {
-            throw malformed(key, "is not 16 hex digits: " + value(field));
+        if (valueEnds[field] - valueStarts[field] != ID_DIGITS) {
+            throw newProtocolException(key, "is not 16 hex digits: " + fieldValue(field));
         }
         long id = 0;
-        for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int digit = parseHexDigit(buffer[at]);
+        for (int index = valueStarts[field]; index < valueEnds[field]; index++) {
+            int digit = parseHexDigit(buffer[index]);
             if (digit < 0) {
-                throw malformed(key, "is not 16 hex digits: " + value(field));
+                throw newProtocolException(key, "is not 16 hex digits: " + fieldValue(field));
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    /** Returns the value of a lowercase hexadecimal digit, or -1 if the byte is none. */
+    /** Returns the value of a lowercase hexadecimal digit, or -1 if the byte is not one. */
     private static int parseHexDigit(byte digit) {
         if (digit >= '0' && digit <= '9') {
             return digit - '0';
@@ -324,13 +329,13 @@
         return digit >= 'a' && digit <= 'f' ? digit - 'a' + 10 : -1;
     }
 
-    /** Returns an exception that names the line, the event and the field. */
-    ProtocolException malformed(String field, String reason) {
-        return new ProtocolException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
+    /** Creates an exception whose message names the line, the event and the field. */
+    ProtocolException newProtocolException(String field, String reason) {
+        return new ProtocolException("line " + lineNumber + ": " + eventName() + ": field " + field + " " + reason);
     }
 
-    /** Returns an exception that names the line. */
-    ProtocolException malformed(String reason) {
+    /** Creates an exception whose message names the line. */
+    ProtocolException newProtocolException(String reason) {
         return new ProtocolException("line " + lineNumber + ": " + reason);
     }
 }
--- a/node/src/main/java/tansypass/simulator/EventTranslator.java
+++ b/node/src/main/java/tansypass/simulator/EventTranslator.java
@@ -9,105 +9,105 @@
 import tansypass.balancer.UpdateKind;
 
 /**
- * Translates events for one instance into calls of its balancer. Each event is parsed completely before the call, so
- * that a malformed one has no effect. Not thread-safe.
+ * Translates the events for an instance into calls of its load balancer. An event is parsed completely before the call
+ * is made, so a malformed event has no effect. Not thread-safe.
  */
 final class EventTranslator {
-    /** A request without a tenant has this name, or none. */
+    /** The tenant field of a request without a tenant; the field may also be missing. */
     private static final String NO_TENANT_NAME = "0";
 
     private static final int NO_TENANT = -1;
 
-    private final EventLineReader line;
-    private final RosterTable rosters;
+    private final EventLineReader reader;
+    private final EndpointListTable endpointLists;
 
-    EventTranslator(EventLineReader line, RosterTable rosters) {
-        this.line = line;
-        this.rosters = rosters;
+    EventTranslator(EventLineReader reader, EndpointListTable endpointLists) {
+        this.reader = reader;
+        this.endpointLists = endpointLists;
     }
 
     /**
-     * Returns the call for the current event.
+     * Returns the call that the current event stands for.
      *
-     * @param nowUs time of the event's batch, microseconds
+     * @param nowUs time of the event's batch, in microseconds
      * @throws ProtocolException if the event is malformed
      */
     Runnable translate(SimulatedInstance instance, long nowUs) throws ProtocolException {
         LoadBalancer balancer = instance.balancer();
-        if (line.isEvent("resolved")) {
+        if (reader.isEvent("resolved")) {
             AttemptOutcome outcome = parseOutcome();
             return () -> balancer.onOutcome(nowUs, outcome);
         }
-        if (line.isEvent("work_item")) {
+        if (reader.isEvent("work_item")) {
             BalancerRequest request = parseRequest(instance);
             return () -> balancer.onRequest(nowUs, request);
         }
-        if (line.isEvent("bell")) {
+        if (reader.isEvent("bell")) {
             return () -> balancer.onTimer(nowUs);
         }
-        if (line.isEvent("topology")) {
+        if (reader.isEvent("topology")) {
             return translateUpdate(instance, nowUs);
         }
-        if (line.isEvent("client_gone")) {
-            long id = line.requireId("handle");
+        if (reader.isEvent("client_gone")) {
+            long id = reader.requireId("handle");
             return () -> balancer.onClientDisconnect(nowUs, id);
         }
-        if (line.isEvent("first_byte")) {
-            long id = line.requireId("handle");
-            int attempt = (int) line.requireLong("seqNo");
+        if (reader.isEvent("first_byte")) {
+            long id = reader.requireId("handle");
+            int attempt = (int) reader.requireLong("seqNo");
             return () -> balancer.onResponseStarted(nowUs, id, attempt);
         }
-        if (line.isEvent("echo")) {
+        if (reader.isEvent("echo")) {
             return translateProbe(balancer, nowUs);
         }
-        if (line.isEvent("memo")) {
+        if (reader.isEvent("memo")) {
             return () -> {};
         }
-        throw line.malformed("unknown event " + line.name());
+        throw reader.newProtocolException("unknown event " + reader.eventName());
     }
 
     private AttemptOutcome parseOutcome() throws ProtocolException {
         return new AttemptOutcome(
-                line.requireId("handle"),
-                (int) line.requireLong("seqNo"),
-                ResultCode.parse(line),
-                line.getLong("latencyUs", 0),
-                line.getFlag("ended"),
-                line.getDoubles("metrics"));
+                reader.requireId("handle"),
+                (int) reader.requireLong("seqNo"),
+                ResultCode.read(reader),
+                reader.getLong("latencyUs", 0),
+                reader.getFlag("ended"),
+                reader.getDoubles("metrics"));
     }
 
     private BalancerRequest parseRequest(SimulatedInstance instance) throws ProtocolException {
-        String tenant = line.getText("realm", NO_TENANT_NAME);
+        String tenant = reader.getText("realm", NO_TENANT_NAME);
         boolean hasTenant = !tenant.equals(NO_TENANT_NAME);
-        long id = line.requireId("handle");
-        String requestClass = line.requireText("lane");
+        long id = reader.requireId("handle");
+        String requestClass = reader.requireText("lane");
         return new BalancerRequest(
                 id,
-                requireKnown("lane", requestClass, instance.findClass(requestClass)),
-                hasTenant ? requireKnown("realm", tenant, instance.findTenant(tenant)) : NO_TENANT,
-                line.requireLong("patienceLeftUs"),
-                line.getLong("workUs", 0),
-                line.getFlag("resent"));
+                requireFound("lane", requestClass, instance.findClass(requestClass)),
+                hasTenant ? requireFound("realm", tenant, instance.findTenant(tenant)) : NO_TENANT,
+                reader.requireLong("patienceLeftUs"),
+                reader.getLong("workUs", 0),
+                reader.getFlag("resent"));
     }
 
-    private int requireKnown(String field, String name, int index) throws ProtocolException {
+    private int requireFound(String field, String name, int index) throws ProtocolException {
         if (index == SimulatedInstance.NOT_FOUND) {
-            throw line.malformed(field, "is not in the settings: " + name);
+            throw reader.newProtocolException(field, "is not in the settings: " + name);
         }
         return index;
     }
 
     private Runnable translateProbe(LoadBalancer balancer, long nowUs) throws ProtocolException {
-        String server = line.requireText("server");
-        AttemptResult result = ResultCode.parse(line);
-        long latencyUs = line.getLong("latencyUs", 0);
-        double[] loadReport = line.getDoubles("metrics");
+        String server = reader.requireText("server");
+        AttemptResult result = ResultCode.read(reader);
+        long latencyUs = reader.getLong("latencyUs", 0);
+        double[] loadReport = reader.getDoubles("metrics");
         return () -> balancer.onProbe(nowUs, server, result, latencyUs, loadReport);
     }
 
     private Runnable translateUpdate(SimulatedInstance instance, long nowUs) throws ProtocolException {
         LoadBalancer balancer = instance.balancer();
-        String kind = line.requireText("kind");
+        String kind = reader.requireText("kind");
         if (kind.equals("broken")) {
             return () -> balancer.onDiscoveryFailure(nowUs);
         }
@@ -115,9 +115,9 @@
             case "patch" -> UpdateKind.DELTA;
             case "whole" -> UpdateKind.SNAPSHOT;
             case "stale_copy" -> UpdateKind.CACHED;
-            default -> throw line.malformed("kind", "is unknown: " + kind);
+            default -> throw reader.newProtocolException("kind", "is unknown: " + kind);
         };
-        List<ServerEntry> entries = rosters.findEntries(line, instance);
+        List<ServerEntry> entries = endpointLists.requireEntries(reader, instance);
         return () -> balancer.onEndpointUpdate(nowUs, updateKind, entries);
     }
 }
--- a/node/src/main/java/tansypass/simulator/Main.java
+++ b/node/src/main/java/tansypass/simulator/Main.java
@@ -4,14 +4,15 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Runs balancer instances for the simulator, which it talks to on standard input and output. */
+/** The program that runs load balancer instances for the simulator, connected by standard input and output. */
 public final class Main {
     private static final int EXIT_FAILURE = 2;
 
     private Main() {}
 
     /**
-     * Runs until the input ends. Malformed input and I/O errors end it with one line on standard error and exit code 2.
+     * Runs until the input ends. Malformed input and I/O errors end the program with one line on standard error and
+     * exit code 2.
      */
     public static void main(String[] args) {
         try {
--- a/node/src/main/java/tansypass/simulator/ProtocolException.java
+++ b/node/src/main/java/tansypass/simulator/ProtocolException.java
@@ -1,6 +1,6 @@
 package tansypass.simulator;
 
-/** The simulator's input is malformed; the message is one line of text for the operator. */
+/** Thrown when the simulator's input is malformed; the message is one line of text for the operator. */
 final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/tansypass/simulator/ResultCode.java
+++ b/node/src/main/java/tansypass/simulator/ResultCode.java
@@ -2,7 +2,7 @@
 
 import tansypass.balancer.AttemptResult;
 
-/** The codes of attempts' and probes' results on the simulator's wire. */
+/** The simulator's codes for the results of attempts and probes. */
 enum ResultCode {
     OK(10, AttemptResult.OK),
     ERROR(20, AttemptResult.ERROR),
@@ -13,8 +13,8 @@
     CANCELLED(70, AttemptResult.CANCELLED),
     NOT_SENT(80, AttemptResult.NOT_SENT);
 
-    private static final String FIELD = "rc";
-    private static final ResultCode[] ALL = values();
+    private static final String CODE_FIELD = "rc";
+    private static final ResultCode[] RESULT_CODES = values();
 
     private final int code;
     private final AttemptResult result;
@@ -25,17 +25,17 @@
     }
 
     /**
-     * Parses the result that the current event gives.
+     * Reads the result code of the current event.
      *
-     * @throws ProtocolException if it has none, or an unknown one
+     * @throws ProtocolException if the event has no result code, or an unknown one
      */
-    static AttemptResult parse(EventLineReader line) throws ProtocolException {
-        long code = line.requireLong(FIELD);
-        for (ResultCode resultCode : ALL) {
+    static AttemptResult read(EventLineReader reader) throws ProtocolException {
+        long code = reader.requireLong(CODE_FIELD);
+        for (ResultCode resultCode : RESULT_CODES) {
             if (resultCode.code == code) {
                 return resultCode.result;
             }
         }
-        throw line.malformed(FIELD, "is unknown: " + code);
+        throw reader.newProtocolException(CODE_FIELD, "is unknown: " + code);
     }
 }
--- a/node/src/main/java/tansypass/simulator/SimulatedInstance.java
+++ b/node/src/main/java/tansypass/simulator/SimulatedInstance.java
@@ -11,21 +11,24 @@
 import tansypass.balancer.Tenant;
 import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 
-/** The balancer of one simulated node, with the indexes of its settings' names. Not thread-safe. */
+/**
+ * The load balancer of one simulated node, and the indexes of the classes, tenants and zones in its settings. Not
+ * thread-safe.
+ */
 final class SimulatedInstance {
-    /** The index of a name that the settings do not have. */
+    /** Returned instead of an index for a name that the settings do not contain. */
     static final int NOT_FOUND = -1;
 
     private final LoadBalancer balancer;
-    private final Map<String, Integer> classes;
-    private final Map<String, Integer> tenants;
-    private final Map<String, Integer> zones;
+    private final Map<String, Integer> classIndexes;
+    private final Map<String, Integer> tenantIndexes;
+    private final Map<String, Integer> zoneIndexes;
 
-    /** Starts an instance that knows no servers. */
+    /** Creates an instance that has received no endpoint list. */
     SimulatedInstance(BalancerSettings settings, long seed, LoadBalancerActions actions) {
-        classes = indexByName(settings.classes(), RequestClass::name);
-        tenants = indexByName(settings.tenants(), Tenant::name);
-        zones = indexByName(settings.zones(), Function.identity());
+        classIndexes = indexByName(settings.classes(), RequestClass::name);
+        tenantIndexes = indexByName(settings.tenants(), Tenant::name);
+        zoneIndexes = indexByName(settings.zones(), Function.identity());
         balancer = new WeightedTwoChoicesLoadBalancer(settings, seed, actions);
     }
 
@@ -41,16 +44,16 @@
 
     /** Returns the index of a request class in the settings, or {@link #NOT_FOUND}. */
     int findClass(String name) {
-        return classes.getOrDefault(name, NOT_FOUND);
+        return classIndexes.getOrDefault(name, NOT_FOUND);
     }
 
     /** Returns the index of a tenant in the settings, or {@link #NOT_FOUND}. */
     int findTenant(String name) {
-        return tenants.getOrDefault(name, NOT_FOUND);
+        return tenantIndexes.getOrDefault(name, NOT_FOUND);
     }
 
     /** Returns the index of a zone in the settings, or {@link #NOT_FOUND}. */
     int findZone(String name) {
-        return zones.getOrDefault(name, NOT_FOUND);
+        return zoneIndexes.getOrDefault(name, NOT_FOUND);
     }
 }
--- a/node/src/main/java/tansypass/simulator/SimulatorConnection.java
+++ b/node/src/main/java/tansypass/simulator/SimulatorConnection.java
@@ -10,62 +10,62 @@
 import tansypass.platform.InvalidValueException;
 
 /**
- * Connects the simulator to balancer instances: reads batches of events, calls the instances, and writes their actions
- * back. It takes no decisions of its own. Single-threaded.
+ * Connects the simulator to the instances of the load balancer: reads batches of events, passes each event to its
+ * instance, and writes the actions of the instances back. It makes no decisions itself. Single-threaded.
  */
 final class SimulatorConnection {
-    private final EventLineReader line;
+    private final EventLineReader reader;
     private final SimulatorResponse response;
-    private final RosterTable rosters = new RosterTable();
+    private final EndpointListTable endpointLists = new EndpointListTable();
     private final EventTranslator translator;
     private final Map<String, SimulatedInstance> instances = new HashMap<>();
     private long nowUs;
 
     SimulatorConnection(InputStream in, OutputStream out) {
-        line = new EventLineReader(in);
+        reader = new EventLineReader(in);
         response = new SimulatorResponse(out);
-        translator = new EventTranslator(line, rosters);
+        translator = new EventTranslator(reader, endpointLists);
     }
 
     /**
      * Processes batches until the input ends.
      *
-     * @throws ProtocolException if the input is malformed; the current batch has no response then
+     * @throws ProtocolException if the input is malformed; the current batch then gets no response
      */
     void run() throws IOException, ProtocolException {
-        while (line.readNext()) {
-            if (line.name().isEmpty()) {
+        while (reader.readNext()) {
+            if (reader.eventName().isEmpty()) {
                 continue;
             }
-            if (!line.isEvent("begin_batch")) {
-                throw line.malformed("a batch must open with begin_batch, not " + line.name());
+            if (!reader.isEvent("begin_batch")) {
+                throw reader.newProtocolException("a batch must open with begin_batch, not " + reader.eventName());
             }
-            nowUs = line.requireLong("timeUs");
-            line.requireNext();
-            while (!line.isEvent("eob")) {
+            nowUs = reader.requireLong("timeUs");
+            reader.requireNext();
+            while (!reader.isEvent("eob")) {
                 processEvent();
-                line.requireNext();
+                reader.requireNext();
             }
             response.flush();
         }
     }
 
     private void processEvent() throws IOException, ProtocolException {
-        if (line.isEvent("roster")) {
-            rosters.read(line);
+        if (reader.isEvent("roster")) {
+            endpointLists.read(reader);
             return;
         }
-        String node = line.requireText("node");
+        String node = reader.requireText("node");
         response.setNode(node);
-        if (line.isEvent("boot")) {
+        if (reader.isEvent("boot")) {
             startInstance(node);
             return;
         }
         SimulatedInstance instance = instances.get(node);
         if (instance == null) {
-            throw line.malformed("node", "names an instance that was never started: " + node);
+            throw reader.newProtocolException("node", "names an instance that was never started: " + node);
         }
-        if (line.isEvent("shutdown")) {
+        if (reader.isEvent("shutdown")) {
             instances.remove(node);
             return;
         }
@@ -79,10 +79,10 @@
     }
 
     private void startInstance(String node) throws ProtocolException {
-        long seed = line.requireLong("initSeed");
+        long seed = reader.requireLong("initSeed");
         Map<String, String> values = new HashMap<>();
-        for (int i = 0; i < line.fieldCount(); i++) {
-            values.put(line.key(i), line.value(i));
+        for (int i = 0; i < reader.fieldCount(); i++) {
+            values.put(reader.fieldKey(i), reader.fieldValue(i));
         }
         instances.put(node, new SimulatedInstance(readSettings(values), seed, response));
     }
@@ -91,7 +91,7 @@
         try {
             return HandshakeSettings.read(values);
         } catch (InvalidValueException e) {
-            throw line.malformed("boot: field " + e.getMessage());
+            throw reader.newProtocolException("boot: field " + e.getMessage());
         }
     }
 }
--- a/node/src/main/java/tansypass/simulator/SimulatorResponse.java
+++ b/node/src/main/java/tansypass/simulator/SimulatorResponse.java
@@ -7,39 +7,39 @@
 import tansypass.balancer.LoadBalancerActions;
 
 /**
- * Writes the actions of the instance whose event is being processed. The response to a batch is buffered and written
- * completely or not at all. Not thread-safe.
+ * Writes the actions of the instance whose event is being processed. The response to a batch is buffered until the
+ * batch ends, so it is written completely or not at all. Not thread-safe.
  */
 final class SimulatorResponse implements LoadBalancerActions {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
-    /** Length of a request id. */
+    /** Number of hexadecimal digits in a request id. */
     private static final int ID_DIGITS = 16;
 
     private static final int MAX_LONG_DIGITS = 20;
     private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
     private static final int ASCII_LIMIT = 128;
-    private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-    private int filled;
+    private int bufferedBytes;
     private String node = "";
 
     SimulatorResponse(OutputStream out) {
         this.out = out;
     }
 
-    /** Sets the instance that the following actions belong to. */
+    /** Sets the name of the instance that the actions after this call belong to. */
     void setNode(String instanceName) {
         node = instanceName;
     }
 
-    /** Ends the response to a batch and writes it. */
+    /** Completes the response to a batch and writes it. */
     void flush() throws IOException {
         append("next\n");
-        out.write(buffer, 0, filled);
+        out.write(buffer, 0, bufferedBytes);
         out.flush();
-        filled = 0;
+        bufferedBytes = 0;
     }
 
     @Override
@@ -124,21 +124,21 @@
         log("restored server " + serverId);
     }
 
-    /** Writes a line to the simulator's log. */
-    void log(String line) {
+    /** Writes a text to the simulator's log. */
+    void log(String text) {
         beginLine("record");
-        appendNote(line);
+        appendNoteText(text);
     }
 
-    /** Reports an exception of the balancer, which ends the simulation with this text. */
-    void reportFault(String line) {
+    /** Reports an exception that the load balancer has thrown; the simulation ends with this text. */
+    void reportFault(String text) {
         beginLine("fault");
-        appendNote(line);
+        appendNoteText(text);
     }
 
-    private void appendNote(String line) {
+    private void appendNoteText(String text) {
         append(" noteText=");
-        append(line.replace('\n', ' ').replace('\r', ' '));
+        append(text.replace('\n', ' ').replace('\r', ' '));
         endLine();
     }
 
@@ -150,14 +150,14 @@
 
     private void endLine() {
         ensureCapacity(1);
-        buffer[filled++] = '\n';
+        buffer[bufferedBytes++] = '\n';
     }
 
     private void appendHandle(long id) {
         append(" handle=");
         ensureCapacity(ID_DIGITS);
         for (int shift = Long.SIZE - 4; shift >= 0; shift -= 4) {
-            buffer[filled++] = HEX[(int) (id >>> shift) & 15];
+            buffer[bufferedBytes++] = HEX_DIGITS[(int) (id >>> shift) & 15];
         }
     }
 
@@ -168,11 +168,11 @@
             char c = text.charAt(i);
             if (c >= ASCII_LIMIT) {
                 byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
-                System.arraycopy(rest, 0, buffer, filled, rest.length);
-                filled += rest.length;
+                System.arraycopy(rest, 0, buffer, bufferedBytes, rest.length);
+                bufferedBytes += rest.length;
                 return;
             }
-            buffer[filled++] = (byte) c;
+            buffer[bufferedBytes++] = (byte) c;
         }
     }
 
@@ -186,8 +186,8 @@
         for (long remaining = value; remaining >= 10; remaining /= 10) {
             digits++;
         }
-        int position = filled + digits;
-        filled = position;
+        int position = bufferedBytes + digits;
+        bufferedBytes = position;
         long remaining = value;
         do {
             buffer[--position] = (byte) ('0' + remaining % 10);
@@ -196,8 +196,8 @@
     }
 
     private void ensureCapacity(int bytes) {
-        if (filled + bytes > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
+        if (bufferedBytes + bytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, bufferedBytes + bytes));
         }
     }
 }
--- a/node/src/main/java/tansypass/simulator/package-info.java
+++ b/node/src/main/java/tansypass/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter that runs the balancer inside the simulator: events arrive as lines of text on standard input, actions
- * leave on standard output. The names in these lines belong to the simulator's protocol.
+ * The adapter that runs the load balancer inside the simulator. It reads events as lines of text from standard input
+ * and writes actions to standard output. The names in these lines belong to the simulator's protocol.
  */
 package tansypass.simulator;
--- a/node/src/test/java/tansypass/simulator/SimulatorConnectionTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorConnectionTest.java
@@ -11,24 +11,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The simulator adapter on short inputs. */
+/** Responses of the simulator adapter to short inputs. */
 class SimulatorConnectionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
             + " classes.0.giveUpUs=500000 classes.0.onTimeUs=100000 classes.0.repeat=safe unknown.key=1"
             + " quantumUs=2000\n";
-    private static final String LIST = "roster setId=0 nodesList=1\n"
+    private static final String ENDPOINT_LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM =
+    private static final String REQUEST =
             "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view" + " patienceLeftUs=240000" + " novel=x\n";
-    private static final String OPEN = "begin_batch timeUs=1000000\n";
+    private static final String BATCH_START = "begin_batch timeUs=1000000\n";
 
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
     private String run(String input) throws Exception {
-        new SimulatorConnection(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
-        return out.toString(StandardCharsets.UTF_8);
+        new SimulatorConnection(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output).run();
+        return output.toString(StandardCharsets.UTF_8);
     }
 
     @Test
@@ -38,7 +38,7 @@
 
     @Test
     void aRequestIsRoutedWithItsIdUnchanged() throws Exception {
-        String response = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+        String response = run(BATCH_START + BOOT + ENDPOINT_LIST + REQUEST + "eob\n");
         assertTrue(
                 response.contains(
                         "route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
@@ -48,8 +48,9 @@
 
     @Test
     void aTimedOutAttemptAtTheDeadlineRejectsTheRequest() throws Exception {
-        String response = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
-                + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
+        String response = run(
+                BATCH_START + BOOT + ENDPOINT_LIST + REQUEST + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+                        + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(response.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), response);
     }
 
@@ -76,18 +77,18 @@
                 "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
                 "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
             })
-    void malformedInputIsReportedByLineAndFieldWithoutOutput(String lines, String named) {
-        String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
+    void malformedInputIsReportedByLineAndFieldWithoutOutput(String lines, String expectedText) {
+        String input = lines.trim().replace("B;", BATCH_START + BOOT).replace(';', '\n') + "\n";
         ProtocolException e = assertThrows(ProtocolException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedText.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
-        assertEquals(0, out.size());
+        assertEquals(0, output.size());
     }
 
     @Test
     void anExceptionInTheBalancerIsReportedAsAFault() throws Exception {
-        String response = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
+        String response = run(BATCH_START + BOOT + ENDPOINT_LIST + REQUEST + REQUEST + "eob\n");
         assertTrue(response.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), response);
         assertTrue(response.endsWith("next\n"));
     }
@@ -99,14 +100,16 @@
 
     @Test
     void instancesDoNotInfluenceEachOther() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
-        out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
-                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines()
+        String responseOfOne = run(BATCH_START + BOOT + ENDPOINT_LIST + REQUEST + "eob\n");
+        output.reset();
+        String responseOfBoth =
+                run(BATCH_START + BOOT.replace("node-3", "node-5") + ENDPOINT_LIST.replace("node=node-3", "node=node-5")
+                        + BOOT + ENDPOINT_LIST + REQUEST.replace("node-3", "node-5") + REQUEST + "eob\n");
+        StringBuilder linesOfOne = new StringBuilder();
+        responseOfBoth
+                .lines()
                 .filter(l -> !l.contains("node-5"))
-                .forEach(l -> own.append(l).append('\n'));
-        assertEquals(one, own.toString());
+                .forEach(l -> linesOfOne.append(l).append('\n'));
+        assertEquals(responseOfOne, linesOfOne.toString());
     }
 }
--- a/node/src/test/java/tansypass/simulator/SimulatorLogTextTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorLogTextTest.java
@@ -7,13 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The texts of the balancer's notifications on the simulator's wire, which stay as they are. */
+/** The texts with which the simulator logs the load balancer's notifications, which must not change. */
 class SimulatorLogTextTest {
 
     @Test
     void notificationsAreWrittenAsNotes() throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimulatorResponse response = new SimulatorResponse(out);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        SimulatorResponse response = new SimulatorResponse(output);
         response.setNode("node-1");
         response.onNoServerReady(3);
         response.onServerEjected("10.0.0.7:8003", 4);
@@ -24,6 +24,6 @@
                 record node=node-1 noteText=ejected server 10.0.0.7:8003 after 4 failures
                 record node=node-1 noteText=restored server 10.0.0.7:8003
                 next
-                """, out.toString(StandardCharsets.UTF_8));
+                """, output.toString(StandardCharsets.UTF_8));
     }
 }
--- a/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
@@ -20,7 +20,7 @@
 import tansypass.platform.HandshakeSettings;
 import tansypass.platform.InvalidValueException;
 
-/** The simulator's wire names, recorded before any rename: a change here breaks the simulator. */
+/** The names in the simulator's protocol. The simulator no longer understands a name that is changed here. */
 class SimulatorNamesTest {
     private static final String HANDSHAKE_PATHS = """
             balancers
@@ -100,10 +100,10 @@
             eob
             """;
 
-    /** Remembers each key that is looked up. */
+    /** A map that records each key that is looked up. */
     private static final class RecordingMap extends HashMap<String, String> {
         private static final long serialVersionUID = 1;
-        private final transient Set<String> lookedUp = new TreeSet<>();
+        private final transient Set<String> lookedUpKeys = new TreeSet<>();
 
         RecordingMap(Map<String, String> values) {
             super(values);
@@ -111,20 +111,20 @@
 
         @Override
         public String get(Object key) {
-            lookedUp.add((String) key);
+            lookedUpKeys.add((String) key);
             return super.get(key);
         }
 
         @Override
         public boolean containsKey(Object key) {
-            lookedUp.add((String) key);
+            lookedUpKeys.add((String) key);
             return super.containsKey(key);
         }
 
         @Override
-        public String getOrDefault(Object key, String otherwise) {
-            lookedUp.add((String) key);
-            return super.getOrDefault(key, otherwise);
+        public String getOrDefault(Object key, String defaultValue) {
+            lookedUpKeys.add((String) key);
+            return super.getOrDefault(key, defaultValue);
         }
     }
 
@@ -142,7 +142,7 @@
                 Map.entry("realms.0.name", "acme"),
                 Map.entry("report.fields", "concurrent,depth,load_share,mean_ms,tps,err_ps")));
         HandshakeSettings.read(values);
-        assertEquals(HANDSHAKE_PATHS, String.join("\n", values.lookedUp) + "\n");
+        assertEquals(HANDSHAKE_PATHS, String.join("\n", values.lookedUpKeys) + "\n");
     }
 
     private static void run(String input) throws Exception {
@@ -155,7 +155,7 @@
         run(BOOT + EVENTS);
     }
 
-    /** A malformed value is an error only if the field is read. */
+    /** Gives each optional field a malformed value, which causes an error only if the field is read. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -189,13 +189,13 @@
         EventLineReader event =
                 new EventLineReader(new ByteArrayInputStream(("echo rc=" + code).getBytes(StandardCharsets.UTF_8)));
         assertTrue(event.readNext());
-        assertEquals(result, ResultCode.parse(event));
+        assertEquals(result, ResultCode.read(event));
     }
 
     @Test
     void actionLinesStayAsRecorded() throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimulatorResponse response = new SimulatorResponse(out);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        SimulatorResponse response = new SimulatorResponse(output);
         response.setNode("node-1");
         response.send(255, "10.0.0.7:8003", 1_240_000);
         response.cancel(255, 2);
@@ -208,6 +208,6 @@
         response.log("two\nlines \u00e9");
         response.reportFault("broken");
         response.flush();
-        assertEquals(ACTIONS, out.toString(StandardCharsets.UTF_8));
+        assertEquals(ACTIONS, output.toString(StandardCharsets.UTF_8));
     }
 }
