--- a/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
+++ b/node/src/main/java/tansypass/node/balancing/BalancerExecutor.java
@@ -13,9 +13,8 @@
 import tansypass.node.logging.LogEvent;
 
 /**
- * Calls the decision module, which is not re-entrant: one call at a time, in the order of the events. It owns
- * the module's clock and its one timer. All methods but {@link #executeOnLoop} are to be called on the event
- * loop.
+ * Calls the load balancer, which is not re-entrant, for one event at a time and in the order of the events. Owns the
+ * load balancer's clock and its only timer. All methods except {@link #executeOnLoop} must be called on the event loop.
  */
 public final class BalancerExecutor {
     private static final Logger LOG = System.getLogger(BalancerExecutor.class.getName());
@@ -24,78 +23,87 @@
 
     private final EventLoop loop;
     private final NodeMetrics metrics;
-    private final long originNanos = System.nanoTime();
-    /** The clock starts at Unix time and then only follows the monotonic one, so that a server's boot
-     * time always converts to the same value: another value would look like another start. */
-    private final long originUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
+    private final long clockStartNs = System.nanoTime();
+    /**
+     * Unix time at which the load balancer's clock starts. From then on it follows the monotonic clock only, so that a
+     * server's boot time always converts to the same value: with another value, the server would seem to have
+     * restarted.
+     */
+    private final long clockStartUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
 
     private final Deque<Call> calls = new ArrayDeque<>();
     private LoadBalancer balancer;
-    private boolean running;
+    private boolean callRunning;
     private boolean closed;
     private ScheduledFuture<?> timer;
 
-    /** Is notified when a call of the module has failed. */
+    /** A listener that is notified when a call of the load balancer has thrown an exception. */
     public interface FailureListener {
-        /** Called once for each call that has thrown, before the next call. */
+        /** Called once for each call that has thrown an exception, before the next call is made. */
         void onBalancerFailure();
     }
 
-    /** For events that concern no single request: there is nobody to notify. */
+    /** The listener for events that concern no single request: there is no request to fail. */
     private static final FailureListener NO_LISTENER = () -> {};
 
-    /** A queued call of the module, and the listener of its failure. */
+    /** A queued call of the load balancer, and the listener to notify if the call fails. */
     private record Call(FailureListener failureListener, Consumer<LoadBalancer> action) {}
 
-    /** Creates an executor without a module: {@link #setBalancer} has to follow. */
+    /** Creates an executor without a load balancer. {@link #setBalancer} must be called next. */
     public BalancerExecutor(EventLoop loop, NodeMetrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
     }
 
-    /** Sets the module; to be called once, before any other method that calls it. */
+    /** Sets the load balancer. Must be called once, before any method that calls the load balancer. */
     public void setBalancer(LoadBalancer balancer) {
         this.balancer = balancer;
     }
 
-    /** Calls the module for an event that concerns no single request; see the method with a listener. */
+    /**
+     * Calls the load balancer for an event that concerns no single request, as {@link #execute(FailureListener,
+     * Consumer)} does.
+     */
     public void execute(Consumer<LoadBalancer> action) {
         execute(NO_LISTENER, action);
     }
 
-    /** Calls the module for an event that concerns no single request; may be called from any thread. */
+    /**
+     * Calls the load balancer, on the event loop, for an event that concerns no single request. May be called on any
+     * thread.
+     */
     public void executeOnLoop(Consumer<LoadBalancer> action) {
         loop.execute(() -> execute(action));
     }
 
     /**
-     * Calls the module, or queues the call while another one is running: an immediate consequence of the module's own
-     * action (a connection refused, an attempt not sent) is reported only after the call that caused it has
-     * returned.
+     * Calls the load balancer, or queues the call if another one is running. An action of the load balancer can cause
+     * an event immediately, such as a refused connection or an attempt that was not sent. The queue delays that event
+     * until the call that caused it has returned.
      *
-     * @param failureListener notified if the call throws, such as the request that the event concerns
+     * @param failureListener the listener to notify if the call throws, such as the request that the event concerns
      */
     public void execute(FailureListener failureListener, Consumer<LoadBalancer> action) {
         if (closed) {
-            // The module would react to the end of attempts by sending the requests in its queue.
+            // When attempts end, the load balancer would react by sending the requests in its queue.
             return;
         }
         calls.add(new Call(failureListener, action));
-        if (running) {
+        if (callRunning) {
             return;
         }
-        running = true;
+        callRunning = true;
         try {
             for (Call call = calls.poll(); call != null; call = calls.poll()) {
                 run(call);
             }
         } finally {
-            running = false;
+            callRunning = false;
             metrics.setServerCounts(balancer.serverCount(), balancer.excludedServerCount());
         }
     }
 
-    /** A fault in one call must not end the node; the request that it concerns still gets a response. */
+    /** Makes a call. An exception must not end the node: it is logged, and the call's request still gets a response. */
     private void run(Call call) {
         try {
             call.action.accept(balancer);
@@ -105,27 +113,27 @@
         }
     }
 
-    /** Returns the time of the module's clock, in microseconds. */
+    /** Returns the time on the load balancer's clock, in microseconds. */
     public long nowUs() {
         return toUs(System.nanoTime());
     }
 
-    /** Converts a reading of {@link System#nanoTime} to the module's clock, in microseconds. */
+    /** Converts a value of {@link System#nanoTime} to the load balancer's clock, in microseconds. */
     public long toUs(long nanoTime) {
-        return originUs + (nanoTime - originNanos) / NS_PER_US;
+        return clockStartUs + (nanoTime - clockStartNs) / NS_PER_US;
     }
 
-    /** Schedules a task for a time of the module's clock; the caller owns the timer. */
+    /** Schedules a task for a time on the load balancer's clock. The caller owns the timer. */
     public ScheduledFuture<?> scheduleAt(long timeUs, Runnable task) {
         return loop.schedule(task, Math.max(0, timeUs - nowUs()), TimeUnit.MICROSECONDS);
     }
 
-    /** Schedules a task after a delay in milliseconds; the caller owns the timer. */
+    /** Schedules a task after a delay in milliseconds. The caller owns the timer. */
     public ScheduledFuture<?> scheduleIn(long delayMs, Runnable task) {
         return loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Sets the module's one timer to a time of its clock, in microseconds; a pending one is replaced. */
+    /** Sets the load balancer's timer to a time on its clock, in microseconds. A pending timer is replaced. */
     public void scheduleTimer(long atUs) {
         if (timer != null) {
             timer.cancel(false);
@@ -133,7 +141,7 @@
         timer = scheduleAt(atUs, () -> execute(b -> b.onTimer(nowUs())));
     }
 
-    /** Cancels the module's timer and makes no further call. */
+    /** Cancels the load balancer's timer. No further call is made after this. */
     public void close() {
         if (timer != null) {
             timer.cancel(false);
--- a/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
+++ b/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
@@ -18,21 +18,26 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
- * Brings endpoint lists to the connection pool and, as {@link ServerEntry} values, to the decision module. It
- * owns the watch and the backoff between its retries. All methods are to be called on the event loop.
+ * Passes endpoint lists to the connection pool and, converted to {@link ServerEntry} values, to the load balancer. Owns
+ * the watch of the endpoint list and the backoff between attempts to open it. All methods must be called on the event
+ * loop.
  */
 public final class EndpointListAdapter implements EndpointWatch.Listener {
-    /** Longest backoff before a broken watch is opened again, in milliseconds and before jitter. */
+    /** Longest backoff before a failed watch is opened again, in milliseconds and before jitter. */
     public static final long MAX_BACKOFF_MS = 200;
 
     private static final Logger LOG = System.getLogger(EndpointListAdapter.class.getName());
 
     /**
-     * The first backoff, in milliseconds and before jitter. A change is in force as soon as the agent has it, whether
-     * it was watched or not, so that a gap in the watch has to be short compared to the shortest grace period.
+     * The first backoff, in milliseconds and before jitter. A change takes effect as soon as the discovery agent has
+     * it, even if the watch is broken at that time. A gap in the watch must therefore be short compared to the shortest
+     * grace period of a draining server.
      */
     private static final long MIN_BACKOFF_MS = 50;
-    /** Zones distinguished by name; servers of further zones are each in a zone of their own. */
+    /**
+     * Largest number of zones that are told apart by name. When it is reached, each server of a further zone counts as
+     * a zone of its own.
+     */
     private static final int MAX_NAMED_ZONES = 1_024;
 
     private static final long US_PER_MS = 1_000;
@@ -43,12 +48,12 @@
     private final EndpointWatch watch;
     private final ExponentialBackoff backoff;
     private final Map<String, Integer> zoneIndexes = new HashMap<>();
-    /** False for the sender of a warm-up, whose endpoint list is fixed. */
+    /** False during warm-up, in which the endpoint list is fixed. */
     private boolean watchEnabled = true;
-    /** The reason of the last failure since the last endpoint list, or null if there was none. */
+    /** Reason of the latest watch failure; null if the watch has not failed since the latest endpoint list. */
     private String lastFailure;
 
-    /** Creates a translator that has applied no endpoint list and opened no watch. */
+    /** Creates an adapter that has not applied an endpoint list or opened a watch yet. */
     public EndpointListAdapter(
             NodeConfig config, EventLoop loop, BalancerExecutor balancer, UpstreamConnectionPool pool) {
         this.config = config;
@@ -56,7 +61,7 @@
         this.pool = pool;
         config.settings().zones().forEach(zone -> zoneIndexes.put(zone, zoneIndexes.size()));
         if (zoneIndexes.isEmpty()) {
-            // The node's own zone, which has no name then.
+            // If the settings name no zones, the node's own zone has the empty name.
             zoneIndexes.put("", config.settings().localZone());
         }
         backoff = new ExponentialBackoff(config.seed(), MIN_BACKOFF_MS, MAX_BACKOFF_MS);
@@ -69,7 +74,10 @@
                 this);
     }
 
-    /** Applies the configuration's endpoint list, and opens the watch unless the module requests it when needed. */
+    /**
+     * Applies the configuration's endpoint list. Also opens the watch, unless the load balancer polls the endpoint list
+     * and opens the watch when it needs one.
+     */
     public void start() {
         apply(UpdateKind.CACHED, config.initialEndpoints());
         if (!config.settings().listPolling()) {
@@ -77,20 +85,20 @@
         }
     }
 
-    /** Applies the configuration's endpoint list and opens no watch, now or later. */
+    /** Applies the configuration's endpoint list, and disables the watch. */
     public void startWithoutWatch() {
         watchEnabled = false;
         apply(UpdateKind.CACHED, config.initialEndpoints());
     }
 
-    /** Opens the watch; one that is open is replaced. */
+    /** Opens the watch. A watch that is open already is replaced. */
     public void subscribe() {
         if (watchEnabled) {
             watch.subscribe();
         }
     }
 
-    /** Changes the discovery agent's address; null if there is none, and the endpoint list no longer changes. */
+    /** Changes the address of the discovery agent. Null means no agent: the endpoint list no longer changes. */
     public void setDiscoveryAddress(InetSocketAddress address) {
         watch.changeAddress(address);
     }
@@ -110,7 +118,8 @@
     @Override
     public void onWatchFailed(String reason) {
         if (!reason.equals(lastFailure)) {
-            // Each reason is logged once: while discovery is down the watch fails several times a second.
+            // While discovery is down, the watch fails several times a second. Failures in a row with the same reason
+            // are logged once.
             LOG.log(Level.INFO, LogEvent.DISCOVERY_WATCH_FAILED.line(reason));
             lastFailure = reason;
         }
@@ -134,16 +143,18 @@
     private ServerEntry toServerEntry(EndpointList.Endpoint endpoint) {
         return new ServerEntry(
                 endpoint.id(),
-                zoneIndex(endpoint),
+                getZoneIndex(endpoint),
                 endpoint.cell(),
                 endpoint.state(),
                 endpoint.weight(),
                 US_PER_MS * endpoint.bootMs());
     }
 
-    /** Returns the index of a server's zone. Zones that the settings don't name are distinguished too: servers
-     * deduplicate retries within a zone only. */
-    private int zoneIndex(EndpointList.Endpoint endpoint) {
+    /**
+     * Returns the index of a server's zone. A zone that the settings don't name gets an index too, because servers
+     * deduplicate retries only within their zone.
+     */
+    private int getZoneIndex(EndpointList.Endpoint endpoint) {
         if (zoneIndexes.size() >= MAX_NAMED_ZONES && !zoneIndexes.containsKey(endpoint.zone())) {
             return -1 - (endpoint.id().hashCode() & Integer.MAX_VALUE);
         }
--- a/node/src/main/java/tansypass/node/balancing/package-info.java
+++ b/node/src/main/java/tansypass/node/balancing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The connection to the decision module ({@link tansypass.balancer.LoadBalancer}): serialised calls, its clock and its
- * timer, and the endpoint lists in its terms. It runs on the node's event loop.
+ * The connection between the node and the load balancer ({@link tansypass.balancer.LoadBalancer}): serialised calls,
+ * the load balancer's clock and timer, and the conversion of endpoint lists. The code runs on the node's event loop.
  */
 package tansypass.node.balancing;
--- a/node/src/main/java/tansypass/node/configuration/ConfigSource.java
+++ b/node/src/main/java/tansypass/node/configuration/ConfigSource.java
@@ -1,19 +1,19 @@
 package tansypass.node.configuration;
 
-/** Where a process reads its configuration from. Called from the main thread and from that of signals. */
+/** A source from which a process reads its configuration. Called on the main thread and on the signal thread. */
 public interface ConfigSource {
 
     /**
-     * Reads the configuration to start with.
+     * Reads the configuration with which the process starts.
      *
-     * @throws InvalidNodeConfigException if it is missing or invalid
+     * @throws InvalidNodeConfigException if the configuration is missing or invalid
      */
     NodeConfig load() throws InvalidNodeConfigException;
 
     /**
      * Reads the configuration again after it has been replaced.
      *
-     * @throws InvalidNodeConfigException if it is missing or invalid
+     * @throws InvalidNodeConfigException if the configuration is missing or invalid
      */
     NodeConfig reload() throws InvalidNodeConfigException;
 }
--- a/node/src/main/java/tansypass/node/configuration/package-info.java
+++ b/node/src/main/java/tansypass/node/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** A node's configuration: immutable, typed and valid, whatever form it was read from. */
+/** The configuration of a node: immutable, typed and valid, independent of the format from which it was read. */
 package tansypass.node.configuration;
--- a/node/src/main/java/tansypass/node/endpoint/EndpointList.java
+++ b/node/src/main/java/tansypass/node/endpoint/EndpointList.java
@@ -10,11 +10,11 @@
 import tansypass.node.logging.LogEvent;
 
 /**
- * A list of endpoints as discovery gives it: a snapshot of all of them, or the changes since the previous revision.
+ * A list of endpoints from discovery: either a snapshot of all endpoints, or the changes since the previous revision.
  *
  * @param revision the revision of the endpoint list after this event
- * @param isSnapshot whether this is the complete endpoint list rather than changes to it
- * @param endpoints each id once
+ * @param isSnapshot true for a snapshot of all endpoints, false for changes
+ * @param endpoints the endpoints, of which no two have the same id
  */
 public record EndpointList(long revision, boolean isSnapshot, List<Endpoint> endpoints) {
     private static final Logger LOG = System.getLogger(EndpointList.class.getName());
@@ -22,9 +22,9 @@
     /**
      * One web server of the endpoint list.
      *
-     * @param zone empty if discovery gives none
-     * @param weight relative capacity
-     * @param bootMs when the server last started, Unix time in milliseconds; 0 if unknown
+     * @param zone the name of the server's zone; empty if discovery does not state one
+     * @param weight the server's capacity relative to other servers
+     * @param bootMs the time at which the server last started, in milliseconds of Unix time; 0 if unknown
      */
     public record Endpoint(
             String id,
@@ -36,8 +36,8 @@
             long bootMs) {}
 
     /**
-     * Returns a list of entries of which several may have the same id: the last one counts, at the first one's place,
-     * and a contradiction is logged.
+     * Creates a list from entries of which several may have the same id. Of these, the last entry is used, at the
+     * position of the first one. If they differ, that is logged.
      */
     public static EndpointList ofEntries(long revision, boolean isSnapshot, List<Endpoint> entries) {
         Map<String, Endpoint> endpoints = new LinkedHashMap<>();
--- a/node/src/main/java/tansypass/node/endpoint/package-info.java
+++ b/node/src/main/java/tansypass/node/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** The web servers that a node may send requests to, as typed values. */
+/** The list of the web servers that a node may send requests to, as typed values. */
 package tansypass.node.endpoint;
--- a/node/src/test/java/tansypass/node/balancing/BalancerExecutorTest.java
+++ b/node/src/test/java/tansypass/node/balancing/BalancerExecutorTest.java
@@ -15,7 +15,9 @@
 class BalancerExecutorTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final BalancerExecutor executor = new BalancerExecutor(channel.eventLoop(), new NodeMetrics(List.of()));
-    /** Events in order: calls of the balancer by method name, and marks set by the test. */
+    /**
+     * Events in order: the names of the load balancer's methods that were called, and texts that the test has added.
+     */
     private final List<String> events = new ArrayList<>();
 
     @BeforeEach
@@ -41,7 +43,7 @@
     }
 
     @Test
-    void callThatThrowsDoesNotStopThoseBehindIt() {
+    void callThatThrowsDoesNotStopLaterCalls() {
         executor.execute(b -> {
             executor.execute(inner -> events.add("behind"));
             throw new IllegalStateException("thrown by the test");
