--- a/node/src/main/java/tansypass/node/http/BodyMemoryLimiter.java
+++ b/node/src/main/java/tansypass/node/http/BodyMemoryLimiter.java
@@ -1,19 +1,22 @@
 package tansypass.node.http;
 
 /**
- * Accounts for the memory that all buffered request bodies take together: above a limit each body gets a smaller buffer
- * and a smaller window. Used on one event loop only.
+ * Counts the memory that all buffered request bodies use together. Above a limit, each body gets a lower buffer
+ * threshold and a smaller window. Used on one event loop only.
  */
 public final class BodyMemoryLimiter {
-    /** A body up to this length is received completely before it is forwarded. */
+    /** Length of the longest body that is received completely before it is forwarded. */
     static final int BUFFER_THRESHOLD_BYTES = 64 * 1024;
-    /** Bytes of a longer body that are buffered at most. */
+    /** Number of buffered bytes of a body at which reading from its client is paused. */
     public static final int WINDOW_BYTES = 128 * 1024;
-    /** Both when the limit is exceeded: small enough for a body of each of the maximum number of clients. */
+    /**
+     * Buffer threshold while the limit is exceeded. This and the reduced window are so small that the bodies of the
+     * maximum number of clients fit in memory.
+     */
     private static final int REDUCED_BUFFER_THRESHOLD_BYTES = 16 * 1024;
 
     private static final int REDUCED_WINDOW_BYTES = 32 * 1024;
-    private static final long LIMIT_BYTES = 6 << 20;
+    private static final long TOTAL_LIMIT_BYTES = 6 << 20;
 
     private long usedBytes;
 
@@ -21,14 +24,14 @@
         usedBytes += bytes;
     }
 
-    /** Returns the length above which an incomplete body is forwarded. */
+    /** Returns the number of buffered bytes above which a body is forwarded before it is complete. */
     int bufferThresholdBytes() {
-        return usedBytes > LIMIT_BYTES ? REDUCED_BUFFER_THRESHOLD_BYTES : BUFFER_THRESHOLD_BYTES;
+        return usedBytes > TOTAL_LIMIT_BYTES ? REDUCED_BUFFER_THRESHOLD_BYTES : BUFFER_THRESHOLD_BYTES;
     }
 
-    /** Returns how many bytes of a body may be buffered before reading from its client is paused. */
+    /** Returns the number of buffered bytes of a body at which reading from its client is paused. */
     int windowBytes() {
-        return usedBytes > LIMIT_BYTES ? REDUCED_WINDOW_BYTES : WINDOW_BYTES;
+        return usedBytes > TOTAL_LIMIT_BYTES ? REDUCED_WINDOW_BYTES : WINDOW_BYTES;
     }
 
     long usedBytes() {
--- a/node/src/main/java/tansypass/node/http/ConnectionBufferLimits.java
+++ b/node/src/main/java/tansypass/node/http/ConnectionBufferLimits.java
@@ -3,20 +3,26 @@
 import io.netty.channel.WriteBufferWaterMark;
 
 /**
- * Bounds on the bytes that are in transit on one connection, the same for clients' and web servers'
- * connections, so that neither side of a relay buffers much more than the other.
+ * Limits on the bytes that are buffered for one connection. They are the same for connections with clients and with web
+ * servers, so that neither side of a relayed message buffers much more than the other.
  */
 public final class ConnectionBufferLimits {
-    /** Bytes of a long body that may be buffered for a slow receiver; reading resumes below the low mark. */
+    /**
+     * Write buffer marks of a connection: a sender is paused above the high mark and resumed below the low mark, so a
+     * slow receiver bounds how much of a long body is buffered.
+     */
     public static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 64 * 1024);
 
-    /** Smallest read buffer that the adaptive allocator shrinks to, in bytes. */
+    /** Smallest size to which the adaptive allocator shrinks a read buffer, in bytes. */
     public static final int MIN_READ_BYTES = 256;
 
-    /** First read buffer of a connection, in bytes. */
+    /** Initial size of a connection's read buffer, in bytes. */
     public static final int INITIAL_READ_BYTES = 2_048;
 
-    /** Bytes read from a socket at once at most: little is in transit when the receiver can't take it. */
+    /**
+     * Largest number of bytes read from a socket at once: it bounds what is in transit when the receiver can't accept
+     * it.
+     */
     public static final int MAX_READ_BYTES = 32 * 1024;
 
     private ConnectionBufferLimits() {}
--- a/node/src/main/java/tansypass/node/http/HttpMessageValidator.java
+++ b/node/src/main/java/tansypass/node/http/HttpMessageValidator.java
@@ -6,20 +6,20 @@
 import io.netty.handler.codec.http.HttpMessage;
 
 /**
- * Checks that HTTP/1.1 requires of requests and responses alike and that Netty's decoders leave out. A failed check is
- * a {@link MalformedMessageException}.
+ * The checks that HTTP/1.1 requires for both requests and responses, but that Netty's decoders do not make. A failed
+ * check throws a {@link MalformedMessageException}.
  */
 public final class HttpMessageValidator {
     private HttpMessageValidator() {}
 
-    /** Rejects a header name without a colon after it: Netty also lets a name end at white space. */
+    /** Rejects a header line without a colon after its name. Netty also accepts white space at the end of a name. */
     static void requireColon(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != HttpConstants.COLON) {
             throw new MalformedMessageException("header line without a colon after its name, of length " + length);
         }
     }
 
-    /** Returns the exception for a message with both a Content-Length and a chunked Transfer-Encoding. */
+    /** Creates the exception for a message with both a Content-Length and a chunked Transfer-Encoding. */
     static MalformedMessageException newAmbiguousFramingException() {
         return new MalformedMessageException("both Content-Length and Transfer-Encoding: chunked");
     }
--- a/node/src/main/java/tansypass/node/http/InboundBuffer.java
+++ b/node/src/main/java/tansypass/node/http/InboundBuffer.java
@@ -7,38 +7,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bytes that a client has sent after a request that is still being served. They are kept undecoded, since decoded
- * messages take more memory. Used on one event loop only.
+ * The bytes that a client has sent after a request that is still being served. They are buffered undecoded, because
+ * decoded messages use more memory. Used on one event loop only.
  */
 public final class InboundBuffer {
-    /** Small reads within this interval are merged into one chunk. */
+    /** Small reads are merged into one chunk if they follow its first read within this interval. */
     private static final long MERGE_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private static final int MIN_CHUNK_BYTES = 512;
 
-    /** Bytes, and when the first of them was read by {@link System#nanoTime}. */
+    /** Undecoded bytes, and the {@link System#nanoTime} at which the first of them was read. */
     private record Chunk(ByteBuf bytes, long arrivedNs) {}
 
     private final BodyMemoryLimiter memoryLimiter;
     private final Deque<Chunk> chunks = new ArrayDeque<>(0);
     private int bufferedBytes;
 
-    /** Creates an empty buffer whose bytes count against the limiter. */
+    /** Creates an empty buffer whose bytes count towards the limiter's total. */
     public InboundBuffer(BodyMemoryLimiter memoryLimiter) {
         this.memoryLimiter = memoryLimiter;
     }
 
-    /** Returns whether nothing is buffered. */
+    /** Returns whether the buffer is empty. */
     public boolean isEmpty() {
         return chunks.isEmpty();
     }
 
-    /** Returns whether more is buffered than one connection may buffer. */
+    /** Returns whether more bytes are buffered than the limiter allows for a connection. */
     public boolean isOverLimit() {
         return bufferedBytes > memoryLimiter.windowBytes();
     }
 
-    /** Copies and releases the bytes: keeping a slice would keep the complete receive buffer. */
+    /**
+     * Copies the bytes and releases them. A slice is not kept, because it would keep the whole receive buffer in
+     * memory.
+     */
     public void add(ByteBuf received, long nowNs) {
         int size = received.readableBytes();
         Chunk tail = chunks.peekLast();
@@ -48,29 +51,29 @@
         }
         tail.bytes.writeBytes(received);
         received.release();
-        account(size);
+        addToTotals(size);
     }
 
-    /** Returns when the oldest chunk was read, by {@link System#nanoTime}; the buffer must not be empty. */
+    /** Returns the {@link System#nanoTime} at which the oldest chunk was read. The buffer must not be empty. */
     public long oldestArrivalNs() {
         return chunks.peek().arrivedNs;
     }
 
-    /** Removes the oldest chunk; the caller has to release it. The buffer must not be empty. */
+    /** Removes and returns the oldest chunk, which the caller must release. The buffer must not be empty. */
     public ByteBuf poll() {
         ByteBuf head = chunks.poll().bytes;
-        account(-head.readableBytes());
+        addToTotals(-head.readableBytes());
         return head;
     }
 
-    /** Releases everything. */
+    /** Removes and releases all bytes. */
     public void clear() {
         while (!isEmpty()) {
             poll().release();
         }
     }
 
-    private void account(int bytes) {
+    private void addToTotals(int bytes) {
         bufferedBytes += bytes;
         memoryLimiter.add(bytes);
     }
--- a/node/src/main/java/tansypass/node/http/MalformedMessageException.java
+++ b/node/src/main/java/tansypass/node/http/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package tansypass.node.http;
 
 /**
- * An HTTP message that the strict decoders reject; the text names what is malformed, with its value. It does not leave
- * the decoders: Netty turns it into the decoder result of the message.
+ * Thrown by the strict decoders for a malformed HTTP message; the exception's message names the malformed part and its
+ * value. Callers do not see the exception: Netty turns it into the decoder result of the HTTP message.
  */
 final class MalformedMessageException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
--- a/node/src/main/java/tansypass/node/http/ProgressTimeout.java
+++ b/node/src/main/java/tansypass/node/http/ProgressTimeout.java
@@ -5,11 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs an action when no progress was recorded for a while. Recording progress only stores a time; a timer checks it
- * now and then. Used on one event loop only.
+ * Runs an action when no progress has been recorded for the length of the timeout. Recording progress only stores a
+ * time, which a periodic check compares with the timeout. Used on one event loop only.
  */
 public final class ProgressTimeout {
-    /** Checks are at least this frequent, since the timeout may be shortened while one is pending. */
+    /**
+     * Longest interval between two checks. It is bounded because the timeout may be shortened while a check is pending.
+     */
     private static final long CHECK_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
@@ -18,13 +20,13 @@
     private long lastProgressNs;
     private long timeoutNs;
 
-    /** Creates a timeout that is not running; the action runs on the event loop, once for each start. */
+    /** Creates a timeout that is not running. The action runs on the event loop, at most once for each start. */
     public ProgressTimeout(EventLoop loop, Runnable onTimeout) {
         this.loop = loop;
         this.onTimeout = onTimeout;
     }
 
-    /** Starts the timeout, or changes it if it is running already. */
+    /** Starts the timeout, or changes its length if it is running already. */
     public void start(long timeoutMs) {
         changeTimeout(timeoutMs);
         if (nextCheck == null) {
@@ -32,7 +34,7 @@
         }
     }
 
-    /** Changes the timeout and counts as progress. */
+    /** Changes the length of the timeout and restarts it from now. */
     public void changeTimeout(long timeoutMs) {
         timeoutNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         recordProgress();
@@ -43,7 +45,7 @@
         lastProgressNs = System.nanoTime();
     }
 
-    /** Cancels the timeout; it can be started again. */
+    /** Stops the timeout. It can be started again. */
     public void stop() {
         if (nextCheck != null) {
             nextCheck.cancel(false);
--- a/node/src/main/java/tansypass/node/http/RequestBody.java
+++ b/node/src/main/java/tansypass/node/http/RequestBody.java
@@ -6,12 +6,15 @@
 import java.util.List;
 
 /**
- * A request body between its client and a server. It is replayable: it can be read from its start repeatedly, until its
- * window is full and the part that was read is dropped. It owns its bytes until {@link #close}. Used on one event loop
- * only.
+ * A request body that is received from a client and read for a server. At first the body is replayable: it can be read
+ * from its start repeatedly. When its window is full, the parts that have been read are dropped, and the body is no
+ * longer replayable. It owns its bytes until {@link #close}. Used on one event loop only.
  */
 public final class RequestBody {
-    /** Small pieces are merged into buffers of this size, so that a piece of one byte does not cost an object. */
+    /**
+     * Smallest capacity of each part after the first. Small pieces share a part, so that a piece of one byte does not
+     * need an object of its own.
+     */
     private static final int MIN_PART_BYTES = 4_096;
 
     private final BodyMemoryLimiter memoryLimiter;
@@ -19,28 +22,32 @@
     private Runnable onContent = () -> {};
     private Runnable onWindowAvailable = () -> {};
     private Runnable onNotReplayable = () -> {};
-    private int nextPart;
+    private int nextPartIndex;
     private long length;
     private int bufferedBytes;
     private boolean complete;
     private boolean replayable = true;
     private boolean paused;
 
-    /** Creates an empty body whose bytes count against the limiter. */
+    /** Creates an empty body whose bytes count towards the limiter's total. */
     public RequestBody(BodyMemoryLimiter memoryLimiter) {
         this.memoryLimiter = memoryLimiter;
     }
 
     /**
-     * Sets what runs when the window has capacity again after {@link #isWindowFull} returned true, and what runs
-     * once when the body stops being replayable.
+     * Sets the listeners of the body.
+     *
+     * @param whenWindowAvailable runs when the window has capacity again after {@link #isWindowFull} returned true
+     * @param whenNotReplayable runs once, when the body is no longer replayable
      */
     public void setListeners(Runnable whenWindowAvailable, Runnable whenNotReplayable) {
         onWindowAvailable = whenWindowAvailable;
         onNotReplayable = whenNotReplayable;
     }
 
-    /** Appends a copy of received bytes: keeping a slice would keep the complete receive buffer. */
+    /**
+     * Appends a copy of received bytes. A slice is not kept, because it would keep the whole receive buffer in memory.
+     */
     public void add(ByteBuf content) {
         int size = content.readableBytes();
         if (size == 0) {
@@ -50,7 +57,7 @@
         bufferedBytes += size;
         memoryLimiter.add(size);
         ByteBuf last = parts.isEmpty() ? null : parts.get(parts.size() - 1);
-        if (last == null || nextPart == parts.size() || last.writableBytes() < size) {
+        if (last == null || nextPartIndex == parts.size() || last.writableBytes() < size) {
             last = parts.isEmpty() ? Unpooled.buffer(size) : Unpooled.buffer(Math.max(size, MIN_PART_BYTES));
             parts.add(last);
         }
@@ -75,42 +82,42 @@
         return length;
     }
 
-    /** Returns whether it is too long to be received completely before it is forwarded. */
+    /** Returns whether the body is so long that it is forwarded before it is complete. */
     public boolean isOverBufferThreshold() {
         return bufferedBytes > memoryLimiter.bufferThresholdBytes();
     }
 
     /**
-     * Returns whether reading from the client has to be paused; if so, the listener runs once the window has
-     * capacity again.
+     * Returns whether reading from the client must be paused because the window is full. If so, the listener runs when
+     * the window has capacity again.
      */
     public boolean isWindowFull() {
         paused = !complete && bufferedBytes >= memoryLimiter.windowBytes();
         return paused;
     }
 
-    /** Returns whether all bytes received are still buffered, so that it can be read from its start. */
+    /** Returns whether all received bytes are still buffered, so that the body can be read from its start. */
     public boolean isReplayable() {
         return replayable;
     }
 
-    /** Returns the complete body as a buffer that the caller has to release; it must be complete and replayable. */
+    /** Returns the whole body as a buffer that the caller must release. The body must be complete and replayable. */
     public ByteBuf retainedContent() {
         ByteBuf[] all = parts.stream().map(ByteBuf::retainedDuplicate).toArray(ByteBuf[]::new);
         return Unpooled.wrappedBuffer(all);
     }
 
     /**
-     * Starts reading at the start of the body.
+     * Starts to read the body from its start.
      *
-     * @param whenContent runs when more content, or the end, has been received
+     * @param whenContent runs when more content, or the end of the body, has been received
      * @throws IllegalStateException if the body is no longer replayable
      */
     void rewind(Runnable whenContent) {
         if (!replayable) {
             throw new IllegalStateException("body is no longer replayable, length " + length);
         }
-        nextPart = 0;
+        nextPartIndex = 0;
         onContent = whenContent;
     }
 
@@ -119,26 +126,26 @@
         onContent = () -> {};
     }
 
-    /** Returns the next part, which the caller has to release; null if none is available yet. */
+    /** Returns the next part, which the caller must release; null if no further part has been received yet. */
     ByteBuf readNextOrNull() {
-        if (nextPart == parts.size()) {
+        if (nextPartIndex == parts.size()) {
             return null;
         }
-        ByteBuf part = parts.get(nextPart++).retainedDuplicate();
+        ByteBuf part = parts.get(nextPartIndex++).retainedDuplicate();
         dropReadParts();
         return part;
     }
 
     /** Returns whether the body is complete and the reader has read all of it. */
     boolean isFullyRead() {
-        return complete && nextPart == parts.size();
+        return complete && nextPartIndex == parts.size();
     }
 
-    /** Drops parts that were read while the window is full and the body is incomplete. */
+    /** While the window is full and the body is incomplete, drops the parts that have been read. */
     private void dropReadParts() {
-        while (!complete && nextPart > 0 && bufferedBytes >= memoryLimiter.windowBytes()) {
+        while (!complete && nextPartIndex > 0 && bufferedBytes >= memoryLimiter.windowBytes()) {
             ByteBuf dropped = parts.remove(0);
-            nextPart--;
+            nextPartIndex--;
             release(dropped);
             if (replayable) {
                 replayable = false;
@@ -156,12 +163,12 @@
         part.release();
     }
 
-    /** Releases all bytes; calling it again has no effect. */
+    /** Releases all bytes. Further calls have no effect. */
     public void close() {
         stopReading();
         parts.forEach(this::release);
         parts.clear();
-        nextPart = 0;
+        nextPartIndex = 0;
         replayable &= length == 0;
     }
 }
--- a/node/src/main/java/tansypass/node/http/RequestBodyWriter.java
+++ b/node/src/main/java/tansypass/node/http/RequestBodyWriter.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.function.Consumer;
 
-/** Writes a request body to a server as it is received, no faster than the channel is writable. */
+/** Writes a request body to a server while it is received, and only as long as the channel is writable. */
 public final class RequestBodyWriter {
     private final Channel channel;
     private final RequestBody body;
@@ -18,8 +18,8 @@
     /**
      * Creates a writer that has not started.
      *
-     * @param progressTimeout is restarted with each part written
-     * @param onLastWritten receives the future of the last write
+     * @param progressTimeout the timeout that each written part restarts
+     * @param onLastWritten the consumer of the last write's future
      */
     public RequestBodyWriter(
             Channel channel, RequestBody body, ProgressTimeout progressTimeout, Consumer<ChannelFuture> onLastWritten) {
@@ -29,13 +29,13 @@
         this.onLastWritten = onLastWritten;
     }
 
-    /** Writes from the start of the body on. */
+    /** Starts to write the body from its start. */
     public void start() {
         body.rewind(this::writeAvailable);
         writeAvailable();
     }
 
-    /** Writes what is available; has to be called again when the channel becomes writable. */
+    /** Writes the parts that have been received. Must be called again when the channel becomes writable. */
     public void writeAvailable() {
         ByteBuf part = !closed && channel.isWritable() ? body.readNextOrNull() : null;
         while (part != null) {
--- a/node/src/main/java/tansypass/node/http/RequestDecoder.java
+++ b/node/src/main/java/tansypass/node/http/RequestDecoder.java
@@ -5,13 +5,13 @@
 import io.netty.util.AsciiString;
 
 /**
- * A strict HTTP/1.1 request decoder. Where the end of a request is ambiguous, what follows it could be taken for
- * another request (request smuggling), so such requests are rejected.
+ * A strict HTTP/1.1 request decoder. It rejects a request whose end is ambiguous, because part of the request could be
+ * taken for another request (request smuggling).
  */
 public final class RequestDecoder extends HttpRequestDecoder {
     private static final int MAX_CHUNK_BYTES = 8_192;
 
-    /** Creates a decoder with limits on the request line and on all headers together, in bytes. */
+    /** Creates a decoder with limits on the length of the request line and of all headers together, in bytes. */
     public RequestDecoder(int maxLineBytes, int maxHeaderBytes) {
         super(maxLineBytes, maxHeaderBytes, MAX_CHUNK_BYTES);
     }
--- a/node/src/main/java/tansypass/node/http/ResponseBodySink.java
+++ b/node/src/main/java/tansypass/node/http/ResponseBodySink.java
@@ -2,9 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Receives the body of a long response part by part. Used on one event loop only. */
+/** The receiver of a long response's body, part by part. Used on one event loop only. */
 public interface ResponseBodySink {
-    /** Discards everything, for a response that is no longer needed. */
+    /** A sink that discards the body of a response that is no longer needed. */
     ResponseBodySink DISCARDING = new ResponseBodySink() {
         @Override
         public void write(ByteBuf part) {
@@ -23,13 +23,15 @@
         public void finish() {}
     };
 
-    /** Forwards a part of the body, and releases it. */
+    /** Forwards a part of the body and releases it. */
     void write(ByteBuf part);
 
-    /** Flushes what has been written. */
+    /** Flushes the parts that have been written. */
     void flush();
 
-    /** Returns whether it accepts more; if not, the writer is notified when it does again. */
+    /**
+     * Returns whether the sink accepts more parts. If not, the writer is notified when the sink accepts parts again.
+     */
     boolean isWritable();
 
     /** Marks the response as complete. */
--- a/node/src/main/java/tansypass/node/http/ResponseDecoder.java
+++ b/node/src/main/java/tansypass/node/http/ResponseDecoder.java
@@ -5,14 +5,14 @@
 import io.netty.util.AsciiString;
 
 /**
- * A strict HTTP/1.1 response decoder. Netty's own accepts a header line without a colon as an empty header, and any
- * number as a status. Such a head may not be the one that was sent, so what follows it must not be forwarded as a
- * response.
+ * A strict HTTP/1.1 response decoder. Netty's own decoder accepts a header line without a colon as an empty header, and
+ * any number as a status. Such a head may differ from the one that the server sent, so the response must not be
+ * forwarded.
  */
 public final class ResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_CHUNK_BYTES = 8_192;
 
-    /** Creates a decoder with limits on the status line and on all headers together, in bytes. */
+    /** Creates a decoder with limits on the length of the status line and of all headers together, in bytes. */
     public ResponseDecoder(int maxLineBytes, int maxHeaderBytes) {
         super(maxLineBytes, maxHeaderBytes, MAX_CHUNK_BYTES);
     }
--- a/node/src/main/java/tansypass/node/http/ResponseFactory.java
+++ b/node/src/main/java/tansypass/node/http/ResponseFactory.java
@@ -12,19 +12,19 @@
 public final class ResponseFactory {
     private ResponseFactory() {}
 
-    /** Creates a response without a body and without a length. */
+    /** Creates a response without a body and without a Content-Length. */
     public static FullHttpResponse newEmpty(HttpResponseStatus status) {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
     }
 
-    /** Creates a plain text response of one line. */
+    /** Creates a response with one line of plain text as its body. */
     public static FullHttpResponse newText(HttpResponseStatus status, String reason) {
         FullHttpResponse response = newResponse(status, (reason + "\n").getBytes(StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
         return response;
     }
 
-    /** Creates a response with a body, which is not copied. */
+    /** Creates a response with a body. The array is not copied. */
     public static FullHttpResponse newResponse(HttpResponseStatus status, byte[] body) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
@@ -32,7 +32,7 @@
         return response;
     }
 
-    /** Creates the response to an invalid request: its status and reason. */
+    /** Creates the response to an invalid request, with the status and the reason of the exception. */
     public static FullHttpResponse newBadRequest(BadRequestException e) {
         FullHttpResponse response = newText(e.status(), e.getMessage());
         if (e.status().equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
--- a/node/src/main/java/tansypass/node/http/ResponseReader.java
+++ b/node/src/main/java/tansypass/node/http/ResponseReader.java
@@ -12,25 +12,25 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Reads one response from a server. It is buffered while it may be a short one, so that no part of it was forwarded if
- * it turns out to be malformed; a long one is streamed to a sink. Used on one event loop only.
+ * Reads one response from a server. A short response is buffered completely, so that no part of it has been forwarded
+ * if it turns out to be malformed. A long response is streamed to a sink. Used on one event loop only.
  */
 public final class ResponseReader {
-    /** A response up to this length is buffered completely. */
+    /** Length of the longest response body that is buffered completely. */
     public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     private static final String REJECTED_HEADER = "X-Turned-Away";
     private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** Progress of the response. */
+    /** The state of a response that is being read. */
     public enum State {
-        /** More is expected. */
+        /** More parts are expected. */
         INCOMPLETE,
-        /** More is expected, and it is too long to be buffered: see {@link #streamTo}. */
+        /** More parts are expected, and the response is too long to be buffered: see {@link #streamTo}. */
         LONG,
-        /** It is complete, or as much of it as is needed has been received. */
+        /** The response is complete, or all of it that is needed has been received. */
         COMPLETE,
-        /** It is not a valid response. */
+        /** The response is invalid. */
         MALFORMED
     }
 
@@ -40,7 +40,7 @@
     private long skippedBytes;
     private boolean complete;
 
-    /** Processes a decoded part of the response; the caller releases it. */
+    /** Processes a decoded part of the response. The caller must release the part. */
     public State read(HttpObject message) {
         if (message.decoderResult().isFailure()) {
             return State.MALFORMED;
@@ -64,17 +64,20 @@
                     ? State.LONG
                     : State.INCOMPLETE;
         }
-        // Of an unsuccessful response only the head matters.
+        // Only the head of an unsuccessful response is used: its body is skipped, up to a limit.
         return skippedBytes > MAX_BUFFERED_BYTES ? State.COMPLETE : State.INCOMPLETE;
     }
 
-    /** Returns whether the response has an unsupported transfer coding, or switches protocols unasked. */
+    /**
+     * Returns whether the response has an unsupported transfer coding, or switches protocols, which the node never
+     * requests.
+     */
     private static boolean isUnsupported(HttpResponse response) {
         return response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 || HttpMessageValidator.hasUnsupportedTransferCoding(response);
     }
 
-    @SuppressWarnings("ReferenceEquality") // The shared empty buffer stands for "nothing yet".
+    @SuppressWarnings("ReferenceEquality") // The shared empty buffer means that no body was received yet.
     private void appendBody(ByteBuf part) {
         if (!isSuccess()) {
             skippedBytes += part.readableBytes();
@@ -92,14 +95,15 @@
             return State.INCOMPLETE;
         }
         if (isSuccess() && !isFramed() && HttpUtil.isKeepAlive(head)) {
-            // Ended by the connection without "Connection: close": that is what a crash half-way looks like.
+            // The end of the connection ended the response, without "Connection: close". A server that crashes while it
+            // sends a response looks the same.
             return State.MALFORMED;
         }
         complete = true;
         return State.COMPLETE;
     }
 
-    /** Forwards what is buffered, and all that follows, to the sink. */
+    /** Forwards the buffered part of the body, and all parts after it, to the sink. */
     public void streamTo(ResponseBodySink destination) {
         sink = destination;
         sink.write(buffered);
@@ -107,38 +111,38 @@
         buffered = Unpooled.EMPTY_BUFFER;
     }
 
-    /** Returns whether it is streamed to a sink rather than buffered. */
+    /** Returns whether the response is streamed to a sink instead of being buffered. */
     public boolean isStreaming() {
         return sink != null;
     }
 
-    /** Returns the sink that it is streamed to; null unless {@link #isStreaming}. */
+    /** Returns the sink to which the response is streamed; null unless {@link #isStreaming}. */
     public ResponseBodySink sinkOrNull() {
         return sink;
     }
 
-    /** Returns whether a successful response is being buffered whose head gives no length. */
+    /** Returns whether a successful response without a Content-Length is being buffered. */
     public boolean isLengthUnknown() {
         return head != null && isSuccess() && sink == null && !HttpUtil.isContentLengthSet(head);
     }
 
-    /** Returns whether a final head was received whose status is not 200; its body does not matter. */
+    /** Returns whether the head of a final response with a status other than 200 was received. Its body is not used. */
     public boolean isUnsuccessful() {
         return head != null && !isSuccess() && head.status().codeClass() != HttpStatusClass.INFORMATIONAL;
     }
 
-    /** Returns whether a head with status 200 was received. */
+    /** Returns whether the head of a response with status 200 was received. */
     public boolean isSuccess() {
         return head != null && head.status().code() == 200;
     }
 
-    /** Returns whether the server rejected the request without executing it; the head must have been received. */
+    /** Returns whether the server rejected the request without executing it. The head must have been received. */
     public boolean isRejected() {
         int status = head.status().code();
         return (status == 503 || status == 504) && "1".equals(head.headers().get(REJECTED_HEADER));
     }
 
-    /** Returns whether the connection can be used for another request. */
+    /** Returns whether the connection can be reused for another request. */
     public boolean canReuseConnection() {
         return complete && isFramed() && HttpUtil.isKeepAlive(head);
     }
@@ -147,17 +151,17 @@
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
-    /** Returns the Content-Type; null if the head has none. */
+    /** Returns the Content-Type of the response, or null if the head has none. */
     public String contentTypeOrNull() {
         return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
     }
 
-    /** Returns the Content-Length, or -1 if the head has none. */
+    /** Returns the Content-Length of the response, or -1 if the head has none. */
     public long contentLength() {
         return HttpUtil.getContentLength(head, -1L);
     }
 
-    /** Returns the buffered response and empties the buffer; to be called once. */
+    /** Returns the buffered response and empties the buffer. Must be called at most once. */
     public UpstreamResponse takeBuffered() {
         byte[] body = buffered.isReadable() ? new byte[buffered.readableBytes()] : EMPTY_BODY;
         buffered.readBytes(body);
--- a/node/src/test/java/tansypass/node/http/RequestBodyTest.java
+++ b/node/src/test/java/tansypass/node/http/RequestBodyTest.java
@@ -10,7 +10,7 @@
 import io.netty.buffer.Unpooled;
 import org.junit.jupiter.api.Test;
 
-/** The window of a request body between its client's writes and its server's reads. */
+/** The window of a request body, while a client writes the body and a server reads it. */
 class RequestBodyTest {
     private final BodyMemoryLimiter memoryLimiter = new BodyMemoryLimiter();
     private final RequestBody body = new RequestBody(memoryLimiter);
@@ -26,12 +26,12 @@
     }
 
     private int readAll() {
-        int read = 0;
+        int readBytes = 0;
         for (ByteBuf part = body.readNextOrNull(); part != null; part = body.readNextOrNull()) {
-            read += part.readableBytes();
+            readBytes += part.readableBytes();
             part.release();
         }
-        return read;
+        return readBytes;
     }
 
     @Test
@@ -52,12 +52,12 @@
 
     @Test
     void readPartsAreDroppedOnlyWhenTheWindowIsFull() {
-        int full = 0;
+        int addedBytes = 0;
         while (!body.isWindowFull()) {
             add(10_000);
-            full += 10_000;
+            addedBytes += 10_000;
         }
-        assertTrue(full < BodyMemoryLimiter.WINDOW_BYTES + 10_000, "buffered " + full);
+        assertTrue(addedBytes < BodyMemoryLimiter.WINDOW_BYTES + 10_000, "buffered " + addedBytes);
         assertEquals(0, windowAvailableCalls + notReplayableCalls);
         body.readNextOrNull().release();
         assertEquals(1, windowAvailableCalls, "window has room again");
@@ -90,34 +90,34 @@
             body.add(Unpooled.wrappedBuffer(new byte[] {(byte) i}));
         }
         int parts = 0;
-        int read = 0;
+        int readBytes = 0;
         for (ByteBuf part = body.readNextOrNull(); part != null; part = body.readNextOrNull()) {
             parts++;
             while (part.isReadable()) {
-                assertEquals((byte) read++, part.readByte());
+                assertEquals((byte) readBytes++, part.readByte());
             }
         }
-        assertEquals(20_000, read);
+        assertEquals(20_000, readBytes);
         assertTrue(parts < 10, parts + " parts");
     }
 
     @Test
     void aboveTheMemoryLimitWindowsShrinkAndClosedBodiesAreReleased() {
-        RequestBody[] many = new RequestBody[200];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = new RequestBody(memoryLimiter);
-            while (!many[i].isWindowFull()) {
-                many[i].add(Unpooled.wrappedBuffer(new byte[8_192]));
+        RequestBody[] bodies = new RequestBody[200];
+        for (int i = 0; i < bodies.length; i++) {
+            bodies[i] = new RequestBody(memoryLimiter);
+            while (!bodies[i].isWindowFull()) {
+                bodies[i].add(Unpooled.wrappedBuffer(new byte[8_192]));
                 assertTrue(
-                        !many[i].isWindowFull() || many[i].isOverBufferThreshold(),
+                        !bodies[i].isWindowFull() || bodies[i].isOverBufferThreshold(),
                         "window full below the buffer threshold");
             }
         }
         assertTrue(memoryLimiter.usedBytes() < 14 << 20, "buffered " + memoryLimiter.usedBytes());
-        for (RequestBody each : many) {
-            each.close();
-            each.close();
-            assertNull(each.readNextOrNull());
+        for (RequestBody closing : bodies) {
+            closing.close();
+            closing.close();
+            assertNull(closing.readNextOrNull());
         }
         assertEquals(0, memoryLimiter.usedBytes());
     }
