--- a/node/src/main/java/tansypass/node/admin/AdminServer.java
+++ b/node/src/main/java/tansypass/node/admin/AdminServer.java
@@ -33,12 +33,12 @@
 import tansypass.node.lifecycle.Lifecycle;
 
 /**
- * The admin HTTP server for operators. It runs on an event loop of its own, so that it responds however busy the node
- * is; it only reads published {@link NodeMetrics} and changes the {@link Lifecycle}, and never waits for the node's
- * loop.
+ * The admin HTTP server for operators. It runs on its own event loop, so that it responds even if the node's event loop
+ * is busy. It reads the {@link NodeMetrics} and changes the {@link Lifecycle}, both of which are thread-safe, and never
+ * waits for the node's event loop.
  */
 public final class AdminServer {
-    /** Concurrent connections; above that the oldest one is closed. */
+    /** Maximum number of concurrent connections; when it is reached, the oldest connection is closed for a new one. */
     static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 64;
@@ -50,7 +50,7 @@
     private final Lifecycle lifecycle;
     private final long callTimeoutMs;
     private final UnaryOperator<String> metricsFormatter;
-    /** Oldest first; used on the admin event loop only. */
+    /** Open connections, oldest first; used on the admin event loop only. */
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /** Creates a server without a metrics page. */
@@ -61,8 +61,8 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param callTimeoutMs a connection is closed after this time, in milliseconds
-     * @param metricsFormatter makes the page {@code /metrics} from the text of {@code /_vars}; null for no such page
+     * @param callTimeoutMs the time after which a connection is closed, in milliseconds
+     * @param metricsFormatter converts the text of {@code /_vars} to the page {@code /metrics}; null for no such page
      */
     public AdminServer(
             NodeMetrics metrics, Lifecycle lifecycle, long callTimeoutMs, UnaryOperator<String> metricsFormatter) {
@@ -72,7 +72,7 @@
         this.metricsFormatter = metricsFormatter;
     }
 
-    /** Binds the address; the future fails if it is in use. The group must have one thread. */
+    /** Binds the address. The future fails if the address is in use. The group must have one thread. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         return new ServerBootstrap()
                 .group(group)
@@ -83,7 +83,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        admit(channel);
+                        register(channel);
                         channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
@@ -94,7 +94,7 @@
                 .bind(address);
     }
 
-    private void admit(Channel channel) {
+    private void register(Channel channel) {
         if (connections.size() >= MAX_CONNECTIONS) {
             connections.iterator().next().close();
         }
@@ -120,12 +120,12 @@
         };
     }
 
-    /** The effect of a call. */
-    private interface Call {
+    /** A function that carries out a call and creates the response. */
+    private interface CallFunction {
         FullHttpResponse respond();
     }
 
-    private static FullHttpResponse requireMethod(FullHttpRequest call, HttpMethod method, Call handler) {
+    private static FullHttpResponse requireMethod(FullHttpRequest call, HttpMethod method, CallFunction handler) {
         if (call.method().equals(method)) {
             return handler.respond();
         }
@@ -172,7 +172,7 @@
         channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Aggregates a call; no call needs a body, and a long one is an error. */
+    /** Aggregates a call. No call needs a body, and a long body is an error. */
     private static final class CallAggregator extends HttpObjectAggregator {
         CallAggregator() {
             super(MAX_BODY_BYTES, true);
@@ -202,7 +202,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // The caller disconnected, or sent something else than a call.
+            // The caller has disconnected, or has not sent HTTP.
             ctx.close();
         }
     }
--- a/node/src/main/java/tansypass/node/admin/NodeMetrics.java
+++ b/node/src/main/java/tansypass/node/admin/NodeMetrics.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counters of this process since its start, and gauges of its present state. The node's event loop updates them; any
- * thread may read them.
+ * The counters of this process since its start, and the gauges of its present state. The node's event loop updates
+ * them. Any thread may read them.
  */
 public final class NodeMetrics {
 
-    /** How a request ended for its client. The external names are those of {@link #format}. */
+    /** The outcome of a request for its client. {@link #format} defines the external names. */
     public enum Outcome {
         SERVED,
         REFUSED,
         FAILED;
 
-        /** Returns the outcome that a response status stands for. */
+        /** Returns the outcome of a request that was answered with a status. */
         public static Outcome of(HttpResponseStatus status) {
             return switch (status.code()) {
                 case 200 -> SERVED;
@@ -37,13 +37,13 @@
     private volatile int knownServers;
     private volatile int excludedServers;
 
-    /** Creates metrics that are all 0, with one counter per class and outcome. */
+    /** Creates metrics that are all 0, with a counter for each outcome of each class. */
     public NodeMetrics(List<String> classNames) {
         this.classNames = List.copyOf(classNames);
         responses = new AtomicLongArray(classNames.size() * OUTCOMES.length);
     }
 
-    /** Records that a request was received completely. */
+    /** Records that a client's request was received completely. */
     public void recordReceived() {
         inFlight.getAndIncrement();
     }
@@ -53,7 +53,7 @@
         responses.getAndIncrement(classIndex * OUTCOMES.length + outcome.ordinal());
     }
 
-    /** Records that a completely received request has ended, with or without a response. */
+    /** Records that a request, after it was received completely, has ended with or without a response. */
     public void recordFinished() {
         inFlight.getAndDecrement();
     }
@@ -68,7 +68,7 @@
         abandoned.getAndIncrement();
     }
 
-    /** Sets the number of servers on the endpoint list, and how many of them are excluded now. */
+    /** Sets the number of servers on the endpoint list, and the number of those that are excluded at present. */
     public void setServerCounts(int known, int excluded) {
         knownServers = known;
         excludedServers = excluded;
--- a/node/src/main/java/tansypass/node/logging/LogEvent.java
+++ b/node/src/main/java/tansypass/node/logging/LogEvent.java
@@ -1,35 +1,36 @@
 package tansypass.node.logging;
 
 /**
- * The events that a node logs. A line is the event in words, then its fields as {@code key=value}, numbers without
- * grouping. Values are not quoted: one that may contain spaces is the last. Each event is listed with its meaning in
- * {@code docs/operations.md}. None occurs for each request, so that lines are formatted whatever the level is.
+ * The events that a node logs. A log line states the event in words, followed by its fields as {@code key=value}.
+ * Numbers are written without digit grouping. Values are not quoted, so a value that may contain spaces must be the
+ * last one. Each event is listed with its meaning in {@code docs/operations.md}. No event occurs for every request, so
+ * lines are formatted even if their level is disabled.
  */
 public enum LogEvent {
-    /** The node is about to listen on the clients' address. */
+    /** The warm-up is complete, and the node is about to listen on the address for clients. */
     WARM_UP_COMPLETE("warm-up complete known_servers={}"),
-    /** The changed configuration is in effect. */
+    /** A changed configuration has taken effect. */
     CONFIGURATION_RELOADED("configuration reloaded discovery={}"),
     /** The watch on the endpoint list could not be opened or has ended. */
     DISCOVERY_WATCH_FAILED("discovery watch failed reason={}"),
-    /** Discovery has listed a server more than once, with different values. */
+    /** An endpoint list contains several entries with different values for one server. */
     CONFLICTING_ENDPOINTS("conflicting entries in endpoint list, last one wins: revision={} server={}"),
     /** No server of the endpoint list accepts requests. */
     NO_SERVER_READY("no server ready listed={}"),
-    /** The decision module has ejected a server that failed too often. */
+    /** The load balancer has ejected a server that failed too often. */
     SERVER_EJECTED("server ejected server={} failures={}"),
-    /** An ejected server has succeeded again. */
+    /** The load balancer has restored an ejected server that succeeds again. */
     SERVER_RESTORED("server restored server={}"),
-    /** A request had no response at its client's deadline. */
+    /** A client's deadline has passed without a response to the request. */
     REQUEST_DEADLINE_EXCEEDED("request deadline exceeded without a response request={}"),
-    /** The decision module has thrown an exception. */
+    /** A call of the load balancer has thrown an exception. */
     BALANCER_CALL_FAILED("balancer call failed"),
-    /** The decision module has sent an attempt of a request that is not in flight. */
+    /** The load balancer has sent an attempt for a request that is not in flight. */
     UNKNOWN_REQUEST_SENT("balancer sent an unknown request request={} server={}"),
-    /** A client's connection has failed by a fault of the node. */
+    /** A client's connection has failed because of a fault in the node. */
     CLIENT_CONNECTION_FAILED("client connection failed client={}");
 
-    private static final String VALUE = "{}";
+    private static final String PLACEHOLDER = "{}";
 
     private final String format;
 
@@ -38,23 +39,23 @@
     }
 
     /**
-     * Returns the line of an occurrence.
+     * Returns the log line for an occurrence of the event.
      *
-     * @param values one for each field, in their order
+     * @param values a value for each field, in the order of the fields
      */
     public String line(Object... values) {
         StringBuilder line = new StringBuilder();
         int start = 0;
         for (Object value : values) {
-            int end = format.indexOf(VALUE, start);
+            int end = format.indexOf(PLACEHOLDER, start);
             line.append(format, start, end).append(value);
-            start = end + VALUE.length();
+            start = end + PLACEHOLDER.length();
         }
         return line.append(format, start, format.length()).toString();
     }
 
-    /** Returns the line with empty values, which identifies the event in documents. */
+    /** Returns the log line with empty values, which identifies the event in the documentation. */
     public String template() {
-        return format.replace(VALUE, "");
+        return format.replace(PLACEHOLDER, "");
     }
 }
--- a/node/src/test/java/tansypass/node/admin/AdminServerTest.java
+++ b/node/src/test/java/tansypass/node/admin/AdminServerTest.java
@@ -23,7 +23,7 @@
 import tansypass.node.TestEventLoopGroup;
 import tansypass.node.lifecycle.Lifecycle;
 
-/** The admin calls, on a lifecycle and metrics without a node. */
+/** The calls of the admin server, for a lifecycle and metrics that belong to no node. */
 @Timeout(120)
 class AdminServerTest {
     private final Lifecycle lifecycle = new Lifecycle();
@@ -173,15 +173,15 @@
     @Test
     void incompleteCallsDoNotLockOutOthers() throws Exception {
         listen(60_000);
-        List<Socket> stuck = new ArrayList<>();
+        List<Socket> incompleteCalls = new ArrayList<>();
         for (int i = 0; i < AdminServer.MAX_CONNECTIONS; i++) {
             Socket socket = connect();
             FakePeer.write(socket, "GET /_va");
-            stuck.add(socket);
+            incompleteCalls.add(socket);
         }
         assertEquals(503, status("GET", "/_ready"));
-        assertNull(FakePeer.readMessage(stuck.get(0)), "the oldest connection is closed");
-        for (Socket socket : stuck) {
+        assertNull(FakePeer.readMessage(incompleteCalls.get(0)), "the oldest connection is closed");
+        for (Socket socket : incompleteCalls) {
             socket.close();
         }
     }
--- a/node/src/test/java/tansypass/node/logging/OperatorLogLinesTest.java
+++ b/node/src/test/java/tansypass/node/logging/OperatorLogLinesTest.java
@@ -13,18 +13,18 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The table of log lines in docs/operations.md, in which upper-case words stand for values. */
+/** Compares the table of log lines in docs/operations.md with the events. Upper-case words in the table are values. */
 class OperatorLogLinesTest {
     private static final Path PAGE = Path.of("..", "docs", "operations.md");
 
     /** Returns the code spans in the first column of the table, each without its values. */
-    private static Set<String> readPage() throws Exception {
+    private static Set<String> readLogLinesOfPage() throws Exception {
         String section = Files.readString(PAGE).split("## Log lines to act on")[1];
         Set<String> lines = new TreeSet<>();
         for (String row : section.lines().filter(l -> l.startsWith("| `")).toList()) {
-            Matcher code = Pattern.compile("`([^`]+)`").matcher(row.split("\\|")[1]);
-            while (code.find()) {
-                lines.add(code.group(1).replaceAll("=[A-Z]+", "="));
+            Matcher codeSpans = Pattern.compile("`([^`]+)`").matcher(row.split("\\|")[1]);
+            while (codeSpans.find()) {
+                lines.add(codeSpans.group(1).replaceAll("=[A-Z]+", "="));
             }
         }
         return lines;
@@ -34,7 +34,7 @@
     void pageListsExactlyTheEventsThatTheNodeLogs() throws Exception {
         Set<String> logged =
                 Arrays.stream(LogEvent.values()).map(LogEvent::template).collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(logged, readPage());
+        assertEquals(logged, readLogLinesOfPage());
     }
 
     @Test
