--- a/node/src/test/java/tansypass/node/BufferLeakExtension.java
+++ b/node/src/test/java/tansypass/node/BufferLeakExtension.java
@@ -4,10 +4,10 @@
 import org.junit.jupiter.api.extension.AfterAllCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Asserts after each test class that no buffer has leaked; a leak found late fails a later class. */
+/** Fails a test class if a buffer has leaked. A leak that is detected late fails a later test class. */
 public final class BufferLeakExtension implements AfterAllCallback {
     @Override
-    public void afterAll(ExtensionContext tests) {
+    public void afterAll(ExtensionContext context) {
         System.gc();
         // Netty checks for leaks when the next buffer is allocated.
         ByteBufAllocator.DEFAULT.directBuffer().release();
--- a/node/src/test/java/tansypass/node/CollectingLeakDetector.java
+++ b/node/src/test/java/tansypass/node/CollectingLeakDetector.java
@@ -4,16 +4,16 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Collects the leaks that Netty detects; Netty creates it because of a system property in the build. */
+/** Collects the leaks that Netty detects. A system property in the build makes Netty use this class. */
 public final class CollectingLeakDetector<T> extends ResourceLeakDetector<T> {
     static final Queue<String> LEAKS = new ConcurrentLinkedQueue<>();
 
-    /** Called by Netty through reflection. */
+    /** Creates a detector for buffers of a type; called by Netty through reflection. */
     public CollectingLeakDetector(Class<?> type, int samplingInterval) {
         super(type, samplingInterval);
     }
 
-    /** Called by Netty through reflection; the last argument is obsolete. */
+    /** Creates a detector for buffers of a type; called by Netty through reflection. The last argument is obsolete. */
     public CollectingLeakDetector(Class<?> type, int samplingInterval, long ignored) {
         this(type, samplingInterval);
     }
--- a/node/src/test/java/tansypass/node/ExternalNamesTest.java
+++ b/node/src/test/java/tansypass/node/ExternalNamesTest.java
@@ -25,12 +25,12 @@
 import tansypass.platform.InvalidValueException;
 import tansypass.platform.MalformedEndpointListException;
 
-/** External names, recorded before any rename: a change here breaks operators or the platform. */
+/** External names, which must not change: operators' tools and the platform depend on them. */
 class ExternalNamesTest {
     private static final String ENTRY = "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:80\",\"az\":\"b\","
             + "\"pod_group\":4,\"state\":\"%s\",\"capacity_hint\":2.5,\"boot_ms\":99}";
 
-    private static JsonObject list(String state) {
+    private static JsonObject parseList(String state) {
         return JsonParser.parseString("{\"rev\":7,\"all\":false,\"targets\":[" + ENTRY.formatted(state) + "]}")
                 .getAsJsonObject();
     }
@@ -106,12 +106,13 @@
                 .entrySet()) {
             assertEquals(
                     "7 false s-1 /127.0.0.1:80 b 4 " + state.getValue() + " 2.5 99",
-                    values(EndpointListJsonReader.read(list(state.getKey())).toString()));
+                    extractValues(EndpointListJsonReader.read(parseList(state.getKey()))
+                            .toString()));
         }
     }
 
-    /** Returns the component values in a record's text, without the component names. */
-    private static String values(String text) {
+    /** Returns the values of the components in a record's text, without the names of the components. */
+    private static String extractValues(String text) {
         return Arrays.stream(text.split("[\\[\\], ]+"))
                 .map(part -> part.substring(part.indexOf('=') + 1))
                 .filter(part -> !part.matches("|[A-Z][a-z]\\w*"))
@@ -121,7 +122,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"rev", "all", "targets"})
     void aListWithoutARequiredKeyIsRejected(String key) {
-        JsonObject list = list("Ready");
+        JsonObject list = parseList("Ready");
         list.remove(key);
         assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
@@ -129,7 +130,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"uid", "endpoint", "state"})
     void anEndpointWithoutARequiredKeyIsRejected(String key) {
-        JsonObject list = list("Ready");
+        JsonObject list = parseList("Ready");
         list.getAsJsonArray("targets").get(0).getAsJsonObject().remove(key);
         assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
--- a/node/src/test/java/tansypass/node/FakePeer.java
+++ b/node/src/test/java/tansypass/node/FakePeer.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted server on a loopback socket, used as a web server or as discovery; records all requests. */
+/** A scripted server on a loopback socket that records all requests. Used as a web server or as the discovery agent. */
 public final class FakePeer implements Closeable {
-    /** How long tests wait for an expected event, in seconds. */
+    /** Longest time that a test waits for an expected event, in seconds. */
     public static final long AWAIT_TIMEOUT_S = 30;
 
-    /** The reaction to a request; runs on the thread of its connection. */
+    /** The reaction of the server to a request. Runs on the thread of the request's connection. */
     public interface Script {
         void run(Socket socket, String request) throws IOException, InterruptedException;
     }
@@ -35,68 +35,69 @@
     /** Closes the connection without a response. */
     public static final Script CLOSE = (socket, request) -> socket.close();
 
-    /** Requests received and not yet taken, oldest first. */
+    /** Requests that were received and that the test has not taken yet, oldest first. */
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    /** Connections closed by the other side. */
+    /** Connections that the other side has closed and that the test has not taken yet, oldest first. */
     public final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
-    /** Connections accepted and not yet taken, oldest first. */
+    /** Connections that were accepted and that the test has not taken yet, oldest first. */
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
+    private final Queue<Socket> openConnections = new ConcurrentLinkedQueue<>();
+    private final ServerSocket serverSocket;
     private volatile Script script;
 
     public FakePeer(Script script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         startDaemon(() -> {
             while (true) {
-                Socket socket = listening.accept();
-                open.add(socket);
+                Socket socket = serverSocket.accept();
+                openConnections.add(socket);
                 accepted.add(socket);
                 startDaemon(() -> serve(socket));
             }
         });
     }
 
-    /** Sends a response with these headers, each ended by CRLF, and this body. */
+    /** Returns a script that sends a response with a body. Each header line must end with CRLF. */
     public static Script respondWith(String status, String headers, String body) {
         return respondRaw(
                 "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Sends this text as it stands. */
+    /** Returns a script that sends a text unchanged. */
     public static Script respondRaw(String text) {
         return (socket, request) -> write(socket, text);
     }
 
-    /** Writes text in ISO 8859-1 and flushes it. */
+    /** Writes a text in ISO 8859-1 and flushes it. */
     public static void write(Socket socket, String text) throws IOException {
-        // Taken once: it can't be taken again after the other thread of a test has shut the output down.
+        // The stream is fetched once, because fetching it fails after another thread of the test has shut the output
+        // down.
         OutputStream output = socket.getOutputStream();
         output.write(text.getBytes(StandardCharsets.ISO_8859_1));
         output.flush();
     }
 
-    /** Replaces the reaction to requests that arrive from now on. */
+    /** Sets the reaction to requests that arrive after this call. */
     public void setScript(Script next) {
         script = next;
     }
 
     public int port() {
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     public String address() {
         return "127.0.0.1:" + port();
     }
 
-    /** Takes the next request; fails after {@link #AWAIT_TIMEOUT_S}. */
+    /** Waits for the next request and takes it. Fails after {@link #AWAIT_TIMEOUT_S}. */
     public String nextRequest() throws InterruptedException {
         return awaitNext(requests);
     }
 
-    /** Takes the next element; fails after {@link #AWAIT_TIMEOUT_S}. */
+    /** Waits for the next element of a queue and takes it. Fails after {@link #AWAIT_TIMEOUT_S}. */
     public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /** Reads an HTTP message with its body; returns null at the end of the stream. */
+    /** Reads an HTTP message with its body. Returns null at the end of the stream. */
     public static String readMessage(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -132,7 +133,7 @@
         return text.append(new String(body, StandardCharsets.ISO_8859_1)).toString();
     }
 
-    /** Returns the value of a header field, or null if the message has none of this name. */
+    /** Returns the value of a header field, or null if the message does not have the field. */
     public static String findHeader(String message, String name) {
         String head = message.substring(0, message.indexOf("\r\n\r\n"));
         for (String line : head.split("\r\n")) {
@@ -145,8 +146,8 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : openConnections) {
             socket.close();
         }
     }
--- a/node/src/test/java/tansypass/node/FakePeerTest.java
+++ b/node/src/test/java/tansypass/node/FakePeerTest.java
@@ -9,27 +9,27 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The scripted server that other tests rely on. */
+/** Tests of the scripted server that other tests use. */
 class FakePeerTest {
 
-    /** A socket whose output another thread shuts down as soon as something has been written. */
-    private static final class ShutDownAfterWrite extends Socket {
-        final ByteArrayOutputStream written = new ByteArrayOutputStream();
+    /** A socket whose output is shut down as soon as something has been written, as if by another thread. */
+    private static final class ShutDownAfterWriteSocket extends Socket {
+        final ByteArrayOutputStream writtenBytes = new ByteArrayOutputStream();
 
         @Override
         public OutputStream getOutputStream() throws SocketException {
-            if (written.size() > 0) {
+            if (writtenBytes.size() > 0) {
                 throw new SocketException("Socket output is shutdown");
             }
-            return written;
+            return writtenBytes;
         }
     }
 
     @Test
     void writingSucceedsIfTheOutputIsShutDownOnceAllIsWritten() throws Exception {
-        try (ShutDownAfterWrite socket = new ShutDownAfterWrite()) {
+        try (ShutDownAfterWriteSocket socket = new ShutDownAfterWriteSocket()) {
             FakePeer.write(socket, "hello");
-            assertEquals("hello", socket.written.toString(StandardCharsets.ISO_8859_1));
+            assertEquals("hello", socket.writtenBytes.toString(StandardCharsets.ISO_8859_1));
         }
     }
 }
--- a/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
+++ b/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import tansypass.node.admin.AdminServer;
 
-/** The admin interface of a running node: metrics that match the traffic, and draining. */
+/** The admin interface of a running node: the metrics match the traffic, and draining loses no request. */
 @Timeout(120)
 class MetricsAndDrainingTest extends RunningNodeTestBase {
     private EventLoopGroup adminGroup;
@@ -61,11 +61,11 @@
         return sendRequest(adminPort, method + " " + path + " HTTP/1.1\r\n\r\n");
     }
 
-    private int readinessStatus() throws Exception {
-        return status(sendRequest(node.port, "GET /ready HTTP/1.1\r\n\r\n"));
+    private int getReadinessStatus() throws Exception {
+        return parseStatus(sendRequest(node.port, "GET /ready HTTP/1.1\r\n\r\n"));
     }
 
-    private static int status(String response) {
+    private static int parseStatus(String response) {
         return Integer.parseInt(response.substring(9, 12));
     }
 
@@ -77,12 +77,12 @@
                 .collect(Collectors.toMap(l -> l[0], l -> Integer.valueOf(l[1])));
     }
 
-    /** Waits for a metric: a client has its response a moment before it is counted. */
+    /** Waits until a metric has a value. Needed because a client receives its response shortly before it is counted. */
     private void awaitMetric(String name, int expected) throws Exception {
         awaitValue(expected, () -> readMetrics().get(name), name);
     }
 
-    /** Polls until the value is as expected; fails after {@link FakePeer#AWAIT_TIMEOUT_S}. */
+    /** Polls a value until it is as expected. Fails after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     private static void awaitValue(int expected, Callable<Integer> actual, String name) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         int last = actual.call();
@@ -97,32 +97,35 @@
     void metricsMatchWhatClientsAndServersSaw() throws Exception {
         start(server);
         try (Socket client = node.connect()) {
-            assertEquals(200, status(sendRequest(client, Fixture.formatRequest("GET", "/view", 1, "", ""))));
-            // Sent to the only server: a non-idempotent request fails without a retry.
+            assertEquals(200, parseStatus(sendRequest(client, Fixture.formatRequest("GET", "/view", 1, "", ""))));
+            // The only server has received the request. The request is non-idempotent, so it fails without a retry.
             server.setScript(FakePeer.respondWith("500 No", "", ""));
-            assertEquals(502, status(sendRequest(client, Fixture.formatRequest("POST", "/order", 2, "", "x"))));
-            // Overloaded, so known not executed: retried until the deadline or the maximum of attempts, then rejected.
+            assertEquals(502, parseStatus(sendRequest(client, Fixture.formatRequest("POST", "/order", 2, "", "x"))));
+            // The server is overloaded, so the request is known not to have been executed. It is retried until its
+            // deadline or the maximum number of attempts, and then rejected.
             server.setScript(FakePeer.respondWith("503 Full", "X-Turned-Away: 1\r\n", ""));
             assertEquals(
                     503,
-                    status(sendRequest(
+                    parseStatus(sendRequest(
                             client,
                             Fixture.formatRequest("GET", "/view", 3, "", "").replace("20000", "300"))));
-            // Times out at a silent server.
+            // A request to a server that never responds times out.
             server.setScript(FakePeer.SILENT);
-            int late = status(sendRequest(
+            int timedOutStatus = parseStatus(sendRequest(
                     client, Fixture.formatRequest("POST", "/order", 4, "", "x").replace("20000", "300")));
-            assertTrue(late != 200 && late != 503, "possibly executed, yet answered " + late);
-            // A path that no class serves counts nowhere.
-            assertEquals(404, status(sendRequest(client, Fixture.formatRequest("GET", "/nothing", 5, "", ""))));
+            assertTrue(
+                    timedOutStatus != 200 && timedOutStatus != 503,
+                    "possibly executed, yet answered " + timedOutStatus);
+            // A request whose path belongs to no class is not counted.
+            assertEquals(404, parseStatus(sendRequest(client, Fixture.formatRequest("GET", "/nothing", 5, "", ""))));
         }
         awaitMetric("node.requests.order.failed", 2);
         awaitMetric("node.in_flight", 0);
-        try (Socket disconnecting = node.connect()) {
-            int before = readMetrics().get("node.attempts");
-            FakePeer.write(disconnecting, Fixture.formatRequest("POST", "/slow", 6, "", "x"));
+        try (Socket client = node.connect()) {
+            int attemptsBefore = readMetrics().get("node.attempts");
+            FakePeer.write(client, Fixture.formatRequest("POST", "/slow", 6, "", "x"));
             awaitMetric("node.in_flight", 1);
-            awaitMetric("node.attempts", before + 1);
+            awaitMetric("node.attempts", attemptsBefore + 1);
         }
         awaitMetric("node.in_flight", 0);
         Map<String, Integer> metrics = readMetrics();
@@ -131,7 +134,7 @@
         assertEquals(0, metrics.get("node.requests.view.failed"));
         assertEquals(0, metrics.get("node.requests.order.served"));
         assertEquals(0, metrics.get("node.requests.slow.served"));
-        // The server may read a request a moment after the node has written it.
+        // The server may read a request shortly after the node has written it.
         awaitValue(metrics.get("node.attempts"), server.requests::size, "requests received");
         assertEquals(1, metrics.get("node.web_servers_known"));
     }
@@ -161,23 +164,23 @@
     @Test
     void adminCallsAreServedWhileEventLoopIsBlocked() throws Exception {
         start(server);
-        CountDownLatch release = new CountDownLatch(1);
-        // Without a time limit: no call below may wait for the event loop.
+        CountDownLatch unblock = new CountDownLatch(1);
+        // The event loop stays blocked until all calls below have returned, so no call may wait for it.
         node.loop.execute(() -> {
             try {
-                release.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         try {
-            assertEquals(200, status(callAdmin("GET", "/_ready")));
+            assertEquals(200, parseStatus(callAdmin("GET", "/_ready")));
             assertTrue(readMetrics().containsKey("node.attempts"));
-            assertEquals(200, status(callAdmin("POST", "/_lameduck/on")));
+            assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/on")));
         } finally {
-            release.countDown();
+            unblock.countDown();
         }
-        assertEquals(503, readinessStatus());
+        assertEquals(503, getReadinessStatus());
     }
 
     @Test
@@ -185,32 +188,33 @@
         server.setScript(FakePeer.SILENT);
         start(server);
         try (Socket idle = node.connect();
-                Socket working = node.connect()) {
-            assertEquals(200, status(sendRequest(idle, "GET /ready HTTP/1.1\r\n\r\n")));
-            FakePeer.write(working, Fixture.formatRequest("POST", "/order", 1, "", "x"));
+                Socket busy = node.connect()) {
+            assertEquals(200, parseStatus(sendRequest(idle, "GET /ready HTTP/1.1\r\n\r\n")));
+            FakePeer.write(busy, Fixture.formatRequest("POST", "/order", 1, "", "x"));
             server.nextRequest();
-            assertEquals(200, status(callAdmin("POST", "/_lameduck/on")));
-            assertEquals(200, status(callAdmin("POST", "/_lameduck/on")));
-            assertEquals(503, readinessStatus());
+            assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/on")));
+            assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/on")));
+            assertEquals(503, getReadinessStatus());
             assertNull(FakePeer.readMessage(idle), "an idle connection is closed");
             FakePeer.write(FakePeer.awaitNext(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            String response = FakePeer.readMessage(working);
+            String response = FakePeer.readMessage(busy);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
             assertEquals("close", FakePeer.findHeader(response, "Connection"));
-            assertNull(FakePeer.readMessage(working), "still open although the node is draining");
+            assertNull(FakePeer.readMessage(busy), "still open although the node is draining");
         }
-        // Clients may still send requests for a moment.
+        // For a short time, clients may still send requests to a node that is draining.
         server.setScript(Fixture.RESPOND_OK);
-        try (Socket late = node.connect()) {
-            String response = sendRequest(late, Fixture.formatRequest("GET", "/view", 2, "", ""));
-            assertEquals(200, status(response));
+        try (Socket lateClient = node.connect()) {
+            String response = sendRequest(lateClient, Fixture.formatRequest("GET", "/view", 2, "", ""));
+            assertEquals(200, parseStatus(response));
             assertEquals("close", FakePeer.findHeader(response, "Connection"));
         }
-        assertEquals(200, status(callAdmin("POST", "/_lameduck/off")));
-        assertEquals(200, readinessStatus());
-        try (Socket back = node.connect()) {
+        assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/off")));
+        assertEquals(200, getReadinessStatus());
+        try (Socket newClient = node.connect()) {
             for (int i = 3; i < 5; i++) {
-                assertEquals(200, status(sendRequest(back, Fixture.formatRequest("GET", "/view", i, "", ""))));
+                assertEquals(
+                        200, parseStatus(sendRequest(newClient, Fixture.formatRequest("GET", "/view", i, "", ""))));
             }
         }
     }
