--- a/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
+++ b/node/src/test/java/tansypass/simulator/SimulatorNamesTest.java
@@ -174,6 +174,22 @@
         }
     }
 
+    @Test
+    void zoneFieldOfAServerStaysAsRecorded() throws Exception {
+        Map<String, String> settings = new HashMap<>(Map.of("zones", "y,z", "classes.count", "1"));
+        settings.putAll(Map.of("classes.0.name", "view", "classes.0.repeat", "safe"));
+        settings.putAll(Map.of("classes.0.onTimeUs", "1", "classes.0.giveUpUs", "2"));
+        SimulatorResponse actions = new SimulatorResponse(new ByteArrayOutputStream());
+        SimulatedInstance instance = new SimulatedInstance(HandshakeSettings.read(settings), 5, actions);
+        String lines = "roster setId=0 nodesList=1\nserver server=a site=z lifecycle=Running\ntopology setId=0\n";
+        EventLineReader reader = new EventLineReader(new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)));
+        EndpointListTable endpointLists = new EndpointListTable();
+        assertTrue(reader.readNext());
+        endpointLists.read(reader);
+        assertTrue(reader.readNext());
+        assertEquals(1, endpointLists.requireEntries(reader, instance).get(0).zone());
+    }
+
     @ParameterizedTest
     @CsvSource({
         "10,OK",
