--- a/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
+++ b/node/src/main/java/tansypass/node/balancing/EndpointListAdapter.java
@@ -51,7 +51,7 @@
     /** False during warm-up, in which the endpoint list is fixed. */
     private boolean watchEnabled = true;
     /** Reason of the latest watch failure; null if the watch has not failed since the latest endpoint list. */
-    private String lastFailure;
+    private String lastFailureReason;
 
     /** Creates an adapter that has not applied an endpoint list or opened a watch yet. */
     public EndpointListAdapter(
@@ -111,17 +111,17 @@
     @Override
     public void onEndpointList(EndpointList list) {
         backoff.reset();
-        lastFailure = null;
+        lastFailureReason = null;
         apply(list.isSnapshot() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list);
     }
 
     @Override
     public void onWatchFailed(String reason) {
-        if (!reason.equals(lastFailure)) {
+        if (!reason.equals(lastFailureReason)) {
             // While discovery is down, the watch fails several times a second. Failures in a row with the same reason
             // are logged once.
             LOG.log(Level.INFO, LogEvent.DISCOVERY_WATCH_FAILED.line(reason));
-            lastFailure = reason;
+            lastFailureReason = reason;
         }
         balancer.execute(b -> b.onDiscoveryFailure(balancer.nowUs()));
         if (!config.settings().listPolling()) {
--- a/node/src/main/java/tansypass/node/http/ResponseReader.java
+++ b/node/src/main/java/tansypass/node/http/ResponseReader.java
@@ -35,7 +35,7 @@
     }
 
     private HttpResponse head;
-    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+    private ByteBuf bufferedBody = Unpooled.EMPTY_BUFFER;
     private ResponseBodySink sink;
     private long skippedBytes;
     private boolean complete;
@@ -59,7 +59,7 @@
         }
         if (isSuccess()) {
             return sink == null
-                            && (buffered.readableBytes() > MAX_BUFFERED_BYTES
+                            && (bufferedBody.readableBytes() > MAX_BUFFERED_BYTES
                                     || HttpUtil.getContentLength(head, 0L) > MAX_BUFFERED_BYTES)
                     ? State.LONG
                     : State.INCOMPLETE;
@@ -84,8 +84,8 @@
         } else if (sink != null) {
             sink.write(part.retain());
         } else if (part.isReadable()) {
-            buffered = buffered == Unpooled.EMPTY_BUFFER ? Unpooled.buffer(part.readableBytes()) : buffered;
-            buffered.writeBytes(part);
+            bufferedBody = bufferedBody == Unpooled.EMPTY_BUFFER ? Unpooled.buffer(part.readableBytes()) : bufferedBody;
+            bufferedBody.writeBytes(part);
         }
     }
 
@@ -106,9 +106,9 @@
     /** Forwards the buffered part of the body, and all parts after it, to the sink. */
     public void streamTo(ResponseBodySink destination) {
         sink = destination;
-        sink.write(buffered);
+        sink.write(bufferedBody);
         sink.flush();
-        buffered = Unpooled.EMPTY_BUFFER;
+        bufferedBody = Unpooled.EMPTY_BUFFER;
     }
 
     /** Returns whether the response is streamed to a sink instead of being buffered. */
@@ -163,8 +163,8 @@
 
     /** Returns the buffered response and empties the buffer. Must be called at most once. */
     public UpstreamResponse takeBuffered() {
-        byte[] body = buffered.isReadable() ? new byte[buffered.readableBytes()] : EMPTY_BODY;
-        buffered.readBytes(body);
+        byte[] body = bufferedBody.isReadable() ? new byte[bufferedBody.readableBytes()] : EMPTY_BODY;
+        bufferedBody.readBytes(body);
         return new UpstreamResponse(head.status().code(), contentTypeOrNull(), body);
     }
 }
--- a/node/src/test/java/tansypass/node/admin/AdminServerTest.java
+++ b/node/src/test/java/tansypass/node/admin/AdminServerTest.java
@@ -29,7 +29,7 @@
     private final Lifecycle lifecycle = new Lifecycle();
     private final NodeMetrics nodeMetrics = new NodeMetrics(List.of("view", "order"));
     private EventLoopGroup group;
-    private Channel listening;
+    private Channel serverChannel;
 
     @BeforeEach
     void open() {
@@ -46,14 +46,14 @@
     }
 
     private void listen(long callTimeoutMs, UnaryOperator<String> metrics) throws Exception {
-        listening = new AdminServer(nodeMetrics, lifecycle, callTimeoutMs, metrics)
+        serverChannel = new AdminServer(nodeMetrics, lifecycle, callTimeoutMs, metrics)
                 .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel();
     }
 
     private Socket connect() throws Exception {
-        return Fixture.connect(((InetSocketAddress) listening.localAddress()).getPort());
+        return Fixture.connect(((InetSocketAddress) serverChannel.localAddress()).getPort());
     }
 
     private String call(String text) throws Exception {
@@ -107,7 +107,7 @@
         assertEquals("text/plain; version=0.0.4; charset=utf-8", FakePeer.findHeader(response, "Content-Type"));
         assertTrue(response.endsWith("made of " + nodeMetrics.format().lines().count() + " lines"), response);
         assertEquals(405, status("POST", "/metrics"));
-        listening.close().sync();
+        serverChannel.close().sync();
         listen(60_000);
         assertEquals(404, status("GET", "/metrics"), "no metrics page without a formatter");
     }
