--- a/testbed/src/main/java/tansypass/testbed/process/ChildProcessReaper.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ChildProcessReaper.java
@@ -26,30 +26,30 @@
     private static final long EXIT_TIMEOUT_S = 5;
 
     private final Process shell;
-    private final OutputStream input;
+    private final OutputStream shellInput;
 
     ChildProcessReaper() throws IOException {
         shell = new ProcessBuilder("/bin/sh", "-c", SCRIPT)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        input = shell.getOutputStream();
+        shellInput = shell.getOutputStream();
     }
 
     /** A child has been started. */
-    synchronized void began(long id) {
-        say("+ " + id);
+    synchronized void register(long pid) {
+        writeLine("+ " + pid);
     }
 
     /** A child has ended, and its id may become another's. */
-    synchronized void ended(long id) {
-        say("- " + id);
+    synchronized void deregister(long pid) {
+        writeLine("- " + pid);
     }
 
-    private void say(String line) {
+    private void writeLine(String line) {
         try {
-            input.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            input.flush();
+            shellInput.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            shellInput.flush();
         } catch (IOException e) {
             throw new IllegalStateException("the reaper has exited", e);
         }
@@ -58,7 +58,7 @@
     @Override
     public void close() {
         try {
-            input.close();
+            shellInput.close();
             if (!shell.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
                 shell.destroyForcibly();
             }
--- a/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
+++ b/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
@@ -48,15 +48,15 @@
  * the run's event loop.
  */
 final class DiscoveryAgent {
-    private static final int MAX_BODY = 1_024;
-    private static final long KEEP_ALIVE_MS = 2_000;
-    private static final Pattern WATCH = Pattern.compile("/v1/endpoints\\?watch=1&after=([0-9]{1,18})");
+    private static final int MAX_BODY_BYTES = 1_024;
+    private static final long KEEP_ALIVE_INTERVAL_MS = 2_000;
+    private static final Pattern WATCH_REQUEST = Pattern.compile("/v1/endpoints\\?watch=1&after=([0-9]{1,18})");
 
     private final EventLoop loop;
     private final Scenario scenario;
     private final int node;
     private final EndpointRegistry registry;
-    private final IntFunction<InetSocketAddress> addresses;
+    private final IntFunction<InetSocketAddress> serverAddresses;
     private final InvariantChecker checker;
     private final RunClock clock;
     private final Set<Watch> watches = new LinkedHashSet<>();
@@ -68,14 +68,14 @@
             Scenario scenario,
             int node,
             EndpointRegistry registry,
-            IntFunction<InetSocketAddress> addresses,
+            IntFunction<InetSocketAddress> serverAddresses,
             InvariantChecker checker,
             RunClock clock) {
         this.loop = loop;
         this.scenario = scenario;
         this.node = node;
         this.registry = registry;
-        this.addresses = addresses;
+        this.serverAddresses = serverAddresses;
         this.checker = checker;
         this.clock = clock;
     }
@@ -86,11 +86,12 @@
     }
 
     InetSocketAddress address() {
-        return Channels.local(listener);
+        return Channels.localAddress(listener);
     }
 
     private void accept(SocketChannel channel) {
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new RequestHandler());
+        channel.pipeline()
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
     }
 
     private String toJson(WatchEvent event) {
@@ -104,7 +105,7 @@
     private Endpoint toEndpoint(Entry entry) {
         return new Endpoint(
                 entry.name(),
-                addresses.apply(entry.number()),
+                serverAddresses.apply(entry.number()),
                 scenario.zone(entry.number()),
                 entry.number() / scenario.servers().serversPerCell(),
                 switch (entry.state()) {
@@ -125,15 +126,16 @@
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            Matcher watch = WATCH.matcher(request.uri());
-            if (watch.matches()) {
-                new Watch(ctx.channel(), Long.parseLong(watch.group(1))).open();
+            Matcher watchRequest = WATCH_REQUEST.matcher(request.uri());
+            if (watchRequest.matches()) {
+                new Watch(ctx.channel(), Long.parseLong(watchRequest.group(1))).open();
             } else if (!registry.isSilent()) {
-                boolean list = request.uri().equals("/v1/endpoints");
+                boolean isListRequest = request.uri().equals("/v1/endpoints");
                 FullHttpResponse response = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        list ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
-                        Unpooled.copiedBuffer(list ? toJson(registry.snapshot()) : "", StandardCharsets.US_ASCII));
+                        isListRequest ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
+                        Unpooled.copiedBuffer(
+                                isListRequest ? toJson(registry.snapshot()) : "", StandardCharsets.US_ASCII));
                 response.headers()
                         .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
                 ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
@@ -150,19 +152,19 @@
     private final class Watch implements Consumer<WatchEvent> {
         private final Channel channel;
         private long revision;
-        private boolean hasStarted;
+        private boolean hasWrittenHead;
         private Future<?> keepAlive;
 
-        Watch(Channel channel, long after) {
+        Watch(Channel channel, long afterRevision) {
             this.channel = channel;
-            revision = after;
+            revision = afterRevision;
         }
 
         void open() {
             watches.add(this);
             registry.addWatcher(this);
-            keepAlive =
-                    loop.scheduleAtFixedRate(this::writeKeepAlive, KEEP_ALIVE_MS, KEEP_ALIVE_MS, TimeUnit.MILLISECONDS);
+            keepAlive = loop.scheduleAtFixedRate(
+                    this::writeKeepAlive, KEEP_ALIVE_INTERVAL_MS, KEEP_ALIVE_INTERVAL_MS, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(closed -> {
                 keepAlive.cancel(false);
                 watches.remove(this);
@@ -180,8 +182,8 @@
         }
 
         private void writeChanges() {
-            if (!hasStarted) {
-                hasStarted = true;
+            if (!hasWrittenHead) {
+                hasWrittenHead = true;
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
                 channel.write(head);
@@ -193,7 +195,7 @@
         }
 
         private void writeKeepAlive() {
-            if (!registry.isSilent() && hasStarted) {
+            if (!registry.isSilent() && hasWrittenHead) {
                 write("\n");
             }
         }
--- a/testbed/src/main/java/tansypass/testbed/process/HttpPoller.java
+++ b/testbed/src/main/java/tansypass/testbed/process/HttpGetClient.java
@@ -18,11 +18,11 @@
 import java.util.function.Consumer;
 
 /** Sends one GET request on a connection of its own. */
-final class HttpPoller {
+final class HttpGetClient {
     private static final int TIMEOUT_MS = 1_000;
-    private static final int MAX_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
-    private HttpPoller() {}
+    private HttpGetClient() {}
 
     /** A complete response. */
     record Response(int status, String body) {}
@@ -38,10 +38,10 @@
                                 .addLast(
                                         new ReadTimeoutHandler(TIMEOUT_MS, TimeUnit.MILLISECONDS),
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_BODY),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                         new ResponseHandler(path, callback)))
-                .addListener(done -> {
-                    if (!done.isSuccess()) {
+                .addListener(connectResult -> {
+                    if (!connectResult.isSuccess()) {
                         callback.accept(Optional.empty());
                     }
                 });
--- a/testbed/src/main/java/tansypass/testbed/process/LinkBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LinkBenchmark.java
@@ -19,12 +19,12 @@
  * all others. Its methods block, and are not to be called on an event loop.
  */
 final class LinkBenchmark {
-    private static final long TOTAL_BYTES = 256L << 20;
+    private static final long TRANSFER_BYTES = 256L << 20;
     private static final int CHUNK_BYTES = 1 << 16;
     private static final int ROUND_TRIPS = 20_000;
     private static final long MAX_ROUND_TRIP_NS = 60_000_000_000L;
     private static final int HISTOGRAM_DIGITS = 3;
-    private static final int MEDIAN = 50;
+    private static final int MEDIAN_PERCENTILE = 50;
     private static final int TIMEOUT_S = 30;
     private static final double NS_PER_S = 1e9;
     private static final double NS_PER_US = 1e3;
@@ -45,32 +45,35 @@
 
     /** Returns where the receiver listens. */
     InetSocketAddress receiverAddress() {
-        return Channels.local(receiver);
+        return Channels.localAddress(receiver);
     }
 
     /** Returns the throughput to the receiver behind this address, in bytes per second. */
-    double bytesPerS(InetSocketAddress to) throws InterruptedException, ExecutionException, TimeoutException {
+    double measureBytesPerS(InetSocketAddress address)
+            throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Long> acknowledgedNs = new CompletableFuture<>();
         long startNs = System.nanoTime();
-        Channel channel = connect(to, new BulkSender(acknowledgedNs));
+        Channel channel = connect(address, new BulkSender(acknowledgedNs));
         double elapsedS = (acknowledgedNs.get(TIMEOUT_S, TimeUnit.SECONDS) - startNs) / NS_PER_S;
         channel.close().sync();
-        return TOTAL_BYTES / elapsedS;
+        return TRANSFER_BYTES / elapsedS;
     }
 
     /** Returns the median of the round trip time to the receiver behind this address, in microseconds. */
-    double roundTripUs(InetSocketAddress to) throws InterruptedException, ExecutionException, TimeoutException {
+    double measureMedianRoundTripUs(InetSocketAddress address)
+            throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Double> medianUs = new CompletableFuture<>();
-        Channel channel = connect(to, new RoundTripTimer(medianUs));
+        Channel channel = connect(address, new RoundTripTimer(medianUs));
         double median = medianUs.get(TIMEOUT_S, TimeUnit.SECONDS);
         channel.close().sync();
         return median;
     }
 
-    private Channel connect(InetSocketAddress to, ChannelInboundHandlerAdapter handler) throws InterruptedException {
+    private Channel connect(InetSocketAddress address, ChannelInboundHandlerAdapter handler)
+            throws InterruptedException {
         return Channels.connect(
                         senderLoop,
-                        to,
+                        address,
                         (int) TimeUnit.SECONDS.toMillis(TIMEOUT_S),
                         true,
                         channel -> channel.pipeline().addLast(handler))
@@ -94,7 +97,7 @@
     /** Sends as fast as the connection takes it; the last byte is a marker. */
     private static final class BulkSender extends ChannelInboundHandlerAdapter {
         private final CompletableFuture<Long> acknowledgedNs;
-        private long remainingBytes = TOTAL_BYTES;
+        private long remainingBytes = TRANSFER_BYTES;
 
         BulkSender(CompletableFuture<Long> acknowledgedNs) {
             this.acknowledgedNs = acknowledgedNs;
@@ -133,7 +136,7 @@
     /** Sends one marker after the other, each when the last one was acknowledged. */
     private static final class RoundTripTimer extends ChannelInboundHandlerAdapter {
         private final CompletableFuture<Double> medianUs;
-        private final Histogram timesNs = new Histogram(MAX_ROUND_TRIP_NS, HISTOGRAM_DIGITS);
+        private final Histogram roundTripsNs = new Histogram(MAX_ROUND_TRIP_NS, HISTOGRAM_DIGITS);
         private long sentNs;
 
         RoundTripTimer(CompletableFuture<Double> medianUs) {
@@ -153,11 +156,11 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ((ByteBuf) message).release();
-            timesNs.recordValue(System.nanoTime() - sentNs);
-            if (timesNs.getTotalCount() < ROUND_TRIPS) {
+            roundTripsNs.recordValue(System.nanoTime() - sentNs);
+            if (roundTripsNs.getTotalCount() < ROUND_TRIPS) {
                 send(ctx);
             } else {
-                medianUs.complete(timesNs.getValueAtPercentile(MEDIAN) / NS_PER_US);
+                medianUs.complete(roundTripsNs.getValueAtPercentile(MEDIAN_PERCENTILE) / NS_PER_US);
             }
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
@@ -22,10 +22,10 @@
 
     /** Starts the load, which lasts for the scenario's length. */
     void start() {
-        sendDue(arrivals.nextUs());
+        sendDueRequests(arrivals.nextUs());
     }
 
-    private void sendDue(long firstUs) {
+    private void sendDueRequests(long firstUs) {
         long dueUs = firstUs;
         // Those that are due already go out in one turn: a timer each would make a busy testbed later still.
         while (dueUs <= context.clock.nowUs() && dueUs < context.scenario.lengthUs()) {
@@ -34,21 +34,23 @@
         }
         if (dueUs < context.scenario.lengthUs()) {
             long nextUs = dueUs;
-            context.scheduler.after(nextUs - context.clock.nowUs(), () -> sendDue(nextUs));
+            context.scheduler.after(nextUs - context.clock.nowUs(), () -> sendDueRequests(nextUs));
         }
     }
 
     private void send(RequestClass requestClass, String id, long intendedUs) {
         int node = context.clientLoadBalancer.selectNode();
         if (node == ClientLoadBalancer.NO_NODE
-                || openRequests() >= context.scenario.clients().maxOpenRequests()) {
+                || openRequestCount() >= context.scenario.clients().maxOpenRequests()) {
             context.checker.requestNotSent(context.clock.nowUs(), intendedUs);
         } else {
             context.nodes.get(node).clients().send(id, requestClass, intendedUs);
         }
     }
 
-    private int openRequests() {
-        return context.nodes.stream().mapToInt(node -> node.clients().open()).sum();
+    private int openRequestCount() {
+        return context.nodes.stream()
+                .mapToInt(node -> node.clients().openRequestCount())
+                .sum();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
@@ -33,7 +33,7 @@
  * on a new one. Lives on the run's event loop.
  */
 final class LoadGenerator {
-    private static final int MAX_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final Scheduler scheduler;
@@ -42,7 +42,7 @@
     private final int node;
     private final InetSocketAddress address;
     private final Deque<Connection> idleConnections = new ArrayDeque<>();
-    private final Set<PendingRequest> pending = new LinkedHashSet<>();
+    private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
     LoadGenerator(
             EventLoop loop,
@@ -60,17 +60,17 @@
     }
 
     /** Returns how many requests wait for their response. */
-    int open() {
-        return pending.size();
+    int openRequestCount() {
+        return openRequests.size();
     }
 
     /** Sends a request that was due at {@code intendedUs}; the checker is notified of its end. */
     void send(String id, RequestClass requestClass, long intendedUs) {
         long nowUs = clock.nowUs();
-        PendingRequest request = new PendingRequest(id, requestClass, nowUs + requestClass.deadlineUs());
+        OpenRequest request = new OpenRequest(id, requestClass, nowUs + requestClass.deadlineUs());
         checker.requestSent(nowUs, id, requestClass, node, intendedUs, request.deadlineUs);
-        pending.add(request);
-        request.timer =
+        openRequests.add(request);
+        request.timeoutTimer =
                 scheduler.after(InvariantChecker.responseTimeoutAtUs(request.deadlineUs) - nowUs, request::timeOut);
         Connection idle = idleConnections.poll();
         if (idle != null) {
@@ -80,17 +80,17 @@
         }
     }
 
-    private void connect(PendingRequest request) {
-        Connection opened = new Connection();
+    private void connect(OpenRequest request) {
+        Connection newConnection = new Connection();
         int timeoutMs =
                 (int) Math.max(1, (InvariantChecker.responseTimeoutAtUs(request.deadlineUs) - clock.nowUs()) / 1_000);
-        Channels.connect(loop, address, timeoutMs, true, opened::init).addListener(done -> {
-            Channel channel = ((ChannelFuture) done).channel();
-            if (request.isOver) {
+        Channels.connect(loop, address, timeoutMs, true, newConnection::init).addListener(connectResult -> {
+            Channel channel = ((ChannelFuture) connectResult).channel();
+            if (request.hasEnded) {
                 channel.close();
-            } else if (done.isSuccess()) {
-                opened.channel = channel;
-                opened.send(request);
+            } else if (connectResult.isSuccess()) {
+                newConnection.channel = channel;
+                newConnection.send(request);
             } else {
                 request.end();
                 checker.connectionRefused(clock.nowUs(), request.id);
@@ -104,28 +104,28 @@
         idleConnections.clear();
     }
 
-    private final class PendingRequest {
+    private final class OpenRequest {
         private final String id;
         private final RequestClass requestClass;
         private final long deadlineUs;
-        private Scheduler.Timer timer;
+        private Scheduler.Timer timeoutTimer;
         private Connection connection;
-        private boolean isOver;
+        private boolean hasEnded;
 
-        PendingRequest(String id, RequestClass requestClass, long deadlineUs) {
+        OpenRequest(String id, RequestClass requestClass, long deadlineUs) {
             this.id = id;
             this.requestClass = requestClass;
             this.deadlineUs = deadlineUs;
         }
 
         void end() {
-            isOver = true;
-            timer.cancel();
-            pending.remove(this);
+            hasEnded = true;
+            timeoutTimer.cancel();
+            openRequests.remove(this);
         }
 
         void timeOut() {
-            if (!isOver) {
+            if (!hasEnded) {
                 end();
                 checker.responseTimedOut(clock.nowUs(), id);
                 if (connection != null) {
@@ -134,57 +134,61 @@
             }
         }
 
-        FullHttpRequest message() {
+        FullHttpRequest toHttpRequest() {
             boolean hasBody = requestClass.idempotency() != Idempotency.SAFE;
-            FullHttpRequest message = new DefaultFullHttpRequest(
+            FullHttpRequest httpRequest = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     hasBody ? HttpMethod.POST : HttpMethod.GET,
                     "/" + requestClass.name(),
                     Unpooled.copiedBuffer(hasBody ? "body of " + id : "", StandardCharsets.US_ASCII));
-            message.headers()
+            httpRequest
+                    .headers()
                     .set(HttpHeaderNames.HOST, "backend.local")
                     .set("X-Txn", id)
                     .set("X-Remaining-Ms", Math.max(1, (deadlineUs - clock.nowUs()) / 1_000));
             if (hasBody) {
-                message.headers()
-                        .set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
+                httpRequest
+                        .headers()
+                        .set(
+                                HttpHeaderNames.CONTENT_LENGTH,
+                                httpRequest.content().readableBytes());
             }
             if (requestClass.idempotency() == Idempotency.KEYED) {
-                message.headers().set("Idempotency-Key", id);
+                httpRequest.headers().set("Idempotency-Key", id);
             }
-            return message;
+            return httpRequest;
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private PendingRequest request;
+        private OpenRequest request;
         private boolean hasResponded;
 
-        void init(SocketChannel opened) {
-            opened.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), this);
+        void init(SocketChannel newChannel) {
+            newChannel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), this);
         }
 
-        void send(PendingRequest next) {
+        void send(OpenRequest next) {
             request = next;
             next.connection = this;
-            channel.writeAndFlush(next.message());
+            channel.writeAndFlush(next.toHttpRequest());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            PendingRequest answered = request;
+            OpenRequest answeredRequest = request;
             request = null;
-            if (answered == null) {
+            if (answeredRequest == null) {
                 ctx.close();
                 return;
             }
             hasResponded = true;
-            answered.connection = null;
-            answered.end();
+            answeredRequest.connection = null;
+            answeredRequest.end();
             checker.responseReceived(
                     clock.nowUs(),
-                    answered.id,
+                    answeredRequest.id,
                     response.status().code(),
                     response.content().toString(StandardCharsets.US_ASCII));
             if (HttpUtil.isKeepAlive(response)) {
@@ -197,18 +201,18 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idleConnections.remove(this);
-            PendingRequest interrupted = request;
+            OpenRequest interruptedRequest = request;
             request = null;
-            if (interrupted == null || interrupted.isOver) {
+            if (interruptedRequest == null || interruptedRequest.hasEnded) {
                 return;
             }
-            interrupted.connection = null;
+            interruptedRequest.connection = null;
             if (hasResponded) {
                 // It crossed the closing of an idle connection.
-                connect(interrupted);
+                connect(interruptedRequest);
             } else {
-                interrupted.end();
-                checker.connectionBroken(clock.nowUs(), interrupted.id, true);
+                interruptedRequest.end();
+                checker.connectionBroken(clock.nowUs(), interruptedRequest.id, true);
             }
         }
 
--- a/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
@@ -11,7 +11,7 @@
  */
 final class LoopbackAllocator implements AutoCloseable {
     private static final int FIRST_NETWORK = 64;
-    private static final int NETWORKS = 128;
+    private static final int NETWORK_COUNT = 128;
     private static final int HOSTS_PER_ROW = 250;
     private static final int FIRST_SERVER_ROW = 100;
     private static final int CLAIM_PORT = 9;
@@ -21,11 +21,11 @@
     private static final int FIRST_PROXY_ROW = 200;
 
     private final int network;
-    private final ServerSocket claim;
+    private final ServerSocket claimSocket;
 
-    private LoopbackAllocator(int network, ServerSocket claim) {
+    private LoopbackAllocator(int network, ServerSocket claimSocket) {
         this.network = network;
-        this.claim = claim;
+        this.claimSocket = claimSocket;
     }
 
     /**
@@ -34,9 +34,9 @@
      * @throws AddressUnavailableException if none is free
      */
     static LoopbackAllocator claim() throws IOException {
-        int start = (int) (ProcessHandle.current().pid() % NETWORKS);
-        for (int i = 0; i < NETWORKS; i++) {
-            int network = FIRST_NETWORK + (start + i) % NETWORKS;
+        int start = (int) (ProcessHandle.current().pid() % NETWORK_COUNT);
+        for (int i = 0; i < NETWORK_COUNT; i++) {
+            int network = FIRST_NETWORK + (start + i) % NETWORK_COUNT;
             ServerSocket socket = new ServerSocket();
             try {
                 socket.bind(new InetSocketAddress(InetAddress.getByName("127." + network + ".0.1"), CLAIM_PORT));
@@ -46,7 +46,7 @@
                 socket.close();
             }
         }
-        throw new AddressUnavailableException("no loopback network is free: " + NETWORKS + " runs at once?");
+        throw new AddressUnavailableException("no loopback network is free: " + NETWORK_COUNT + " runs at once?");
     }
 
     private String host(int row, int number) {
@@ -54,37 +54,37 @@
     }
 
     /** Returns the host of a node. */
-    String node(int number) {
+    String nodeHost(int number) {
         return host(1, number);
     }
 
     /** Returns the host of a server. */
-    String server(int number) {
+    String serverHost(int number) {
         return host(FIRST_SERVER_ROW, number);
     }
 
     /** Returns where a node listens for clients. */
-    InetSocketAddress listen(int number) {
-        return new InetSocketAddress(node(number), CLIENT_PORT);
+    InetSocketAddress clientAddress(int number) {
+        return new InetSocketAddress(nodeHost(number), CLIENT_PORT);
     }
 
     /** Returns where a node listens for operators. */
-    InetSocketAddress admin(int number) {
-        return new InetSocketAddress(node(number), ADMIN_PORT);
+    InetSocketAddress adminAddress(int number) {
+        return new InetSocketAddress(nodeHost(number), ADMIN_PORT);
     }
 
     /** Returns where a node listens for other members. */
-    InetSocketAddress member(int number) {
-        return new InetSocketAddress(node(number), MEMBER_PORT);
+    InetSocketAddress memberAddress(int number) {
+        return new InetSocketAddress(nodeHost(number), MEMBER_PORT);
     }
 
     /** Returns where other members send to a node if the testbed has links between them. */
-    InetSocketAddress memberProxy(int number) {
+    InetSocketAddress memberProxyAddress(int number) {
         return new InetSocketAddress(host(FIRST_PROXY_ROW, number), MEMBER_PORT);
     }
 
     @Override
     public void close() throws IOException {
-        claim.close();
+        claimSocket.close();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -32,9 +32,9 @@
     private final Scheduler scheduler;
     private final LinkMatrix linkMatrix;
     private final long seed;
-    private final List<InetSocketAddress> owners = new ArrayList<>();
-    private final Map<String, Integer> numberByHost = new HashMap<>();
-    private final List<Channel> proxies = new ArrayList<>();
+    private final List<InetSocketAddress> nodeAddresses = new ArrayList<>();
+    private final Map<String, Integer> nodeByHost = new HashMap<>();
+    private final List<Channel> proxyChannels = new ArrayList<>();
     private final Map<String, Relay> relays = new HashMap<>();
 
     MembershipLinks(EventLoop loop, Scheduler scheduler, long seed) {
@@ -45,22 +45,24 @@
     }
 
     /** Opens the proxy address of the next node, which itself listens at {@code owner}, not on the loop. */
-    void open(InetSocketAddress proxy, InetSocketAddress owner) throws AddressUnavailableException {
-        int number = owners.size();
-        owners.add(owner);
-        numberByHost.put(owner.getAddress().getHostAddress(), number);
+    void openProxy(InetSocketAddress proxyAddress, InetSocketAddress nodeAddress) throws AddressUnavailableException {
+        int number = nodeAddresses.size();
+        nodeAddresses.add(nodeAddress);
+        nodeByHost.put(nodeAddress.getAddress().getHostAddress(), number);
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new DatagramForwarder(number))
-                .bind(proxy)
+                .bind(proxyAddress)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new AddressUnavailableException(
-                    "can't take datagrams at " + proxy + ": " + bound.cause().getMessage(), bound.cause());
+                    "can't take datagrams at " + proxyAddress + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
-        proxies.add(bound.channel());
-        Channels.listen(loop, proxy, channel -> accept(number, channel));
+        proxyChannels.add(bound.channel());
+        Channels.listen(loop, proxyAddress, channel -> accept(number, channel));
     }
 
     /** Begins or ends a fault; to be called on the loop. */
@@ -77,11 +79,14 @@
         return relays.computeIfAbsent(
                 from + ">" + to,
                 name -> new Relay(
-                        loop, scheduler, new LinkState(0, RandomStreams.of(seed, "exchange-" + name)), owners.get(to)));
+                        loop,
+                        scheduler,
+                        new LinkState(0, RandomStreams.of(seed, "exchange-" + name)),
+                        nodeAddresses.get(to)));
     }
 
     private void accept(int to, SocketChannel channel) {
-        Integer from = numberByHost.get(channel.remoteAddress().getAddress().getHostAddress());
+        Integer from = nodeByHost.get(channel.remoteAddress().getAddress().getHostAddress());
         if (from == null) {
             channel.close();
         } else {
@@ -99,7 +104,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer from = numberByHost.get(packet.sender().getAddress().getHostAddress());
+            Integer from = nodeByHost.get(packet.sender().getAddress().getHostAddress());
             if (from == null) {
                 return;
             }
@@ -107,7 +112,8 @@
             for (long dueUs :
                     linkMatrix.datagramDueUs(from, to, nowUs, packet.content().readableBytes())) {
                 ByteBuf copy = packet.content().copy();
-                Runnable forward = () -> proxies.get(from).writeAndFlush(new DatagramPacket(copy, owners.get(to)));
+                Runnable forward =
+                        () -> proxyChannels.get(from).writeAndFlush(new DatagramPacket(copy, nodeAddresses.get(to)));
                 if (dueUs <= nowUs) {
                     forward.run();
                 } else {
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
@@ -11,38 +11,41 @@
 import tansypass.testbed.model.ProcessNames;
 
 /**
- * A node's membership view as its admin page shows it.
+ * A node's membership view, as its view page shows it.
  *
- * @param incarnation of the node itself
- * @param lines its entries, and for how many microseconds each has not changed
+ * @param ownIncarnation the incarnation of the node's current process, as the node itself lists it
+ * @param unchangedUsByLine the entries of the view, and for how many microseconds each has not changed
  */
-record MembershipSnapshot(String incarnation, Map<Line, Long> lines) {
+record MembershipSnapshot(String ownIncarnation, Map<Line, Long> unchangedUsByLine) {
 
     /** Returns the numbers of the members that are present in it. */
-    Set<Integer> present() {
-        return lines.keySet().stream().filter(Line::isPresent).map(Line::of).collect(Collectors.toSet());
+    Set<Integer> presentMembers() {
+        return unchangedUsByLine.keySet().stream()
+                .filter(Line::isPresent)
+                .map(Line::of)
+                .collect(Collectors.toSet());
     }
 
     /** Parses the page of the node with this number. */
-    static MembershipSnapshot read(int number, String body) {
-        Map<Line, Long> lines = new LinkedHashMap<>();
-        String own = "";
+    static MembershipSnapshot parse(int nodeNumber, String body) {
+        Map<Line, Long> unchangedUsByLine = new LinkedHashMap<>();
+        String ownIncarnation = "";
         for (JsonElement element :
                 JsonParser.parseString(body).getAsJsonObject().getAsJsonArray("members")) {
             JsonObject member = element.getAsJsonObject();
             String name = member.get("name").getAsString();
-            int of = ProcessNames.numberOf(name);
+            int memberNumber = ProcessNames.numberOf(name);
             String incarnation =
                     member.get("gen").getAsString() + "." + member.get("nonce").getAsString();
-            lines.put(
+            unchangedUsByLine.put(
                     new Line(
-                            of,
+                            memberNumber,
                             incarnation,
                             member.get("state").getAsString(),
                             member.get("inc").getAsLong()),
                     member.get("for_ms").getAsLong() * 1_000);
-            own = of == number ? incarnation : own;
+            ownIncarnation = memberNumber == nodeNumber ? incarnation : ownIncarnation;
         }
-        return new MembershipSnapshot(own, lines);
+        return new MembershipSnapshot(ownIncarnation, unchangedUsByLine);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
@@ -14,12 +14,12 @@
 /** The process of a node: starts, signals and kills it. Lives on the run's event loop. */
 final class NodeProcess {
     private static final long SIGNAL_TIMEOUT_S = 5;
-    private static final int LAST_LINES = 5;
+    private static final int LOG_TAIL_LINES = 5;
 
     private final String name;
     private final List<String> command;
-    private final Path file;
-    private final Path log;
+    private final Path configFile;
+    private final Path logFile;
     private final ChildProcessReaper reaper;
     private final EventLoop loop;
     private final Consumer<String> onUnexpectedExit;
@@ -36,15 +36,15 @@
     NodeProcess(
             String name,
             List<String> command,
-            Path file,
-            Path log,
+            Path configFile,
+            Path logFile,
             ChildProcessReaper reaper,
             EventLoop loop,
             Consumer<String> onUnexpectedExit) {
         this.name = name;
         this.command = command;
-        this.file = file;
-        this.log = log;
+        this.configFile = configFile;
+        this.logFile = logFile;
         this.reaper = reaper;
         this.loop = loop;
         this.onUnexpectedExit = onUnexpectedExit;
@@ -53,10 +53,10 @@
     /** Starts it; throws UncheckedIOException if the command cannot be started. */
     void start() {
         List<String> arguments = new ArrayList<>(command);
-        arguments.add(file.toString());
+        arguments.add(configFile.toString());
         ProcessBuilder builder = new ProcessBuilder(arguments)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         builder.environment().keySet().removeIf(key -> key.startsWith("LB_") || key.startsWith("TANSYPASS_"));
         isExitExpected = false;
         isStopped = false;
@@ -67,13 +67,13 @@
             throw new UncheckedIOException(name + " can't be started", e);
         }
         process = started;
-        reaper.began(started.pid());
+        reaper.register(started.pid());
         started.onExit().thenRun(() -> {
-            reaper.ended(started.pid());
+            reaper.deregister(started.pid());
             loop.execute(() -> {
                 if (process == started && !isExitExpected) {
                     isExitExpected = true;
-                    onUnexpectedExit.accept("ended with code " + started.exitValue() + ": " + lastLines());
+                    onUnexpectedExit.accept("ended with code " + started.exitValue() + ": " + logTail());
                 }
             });
         });
@@ -99,24 +99,24 @@
     }
 
     /** Sends SIGTERM; throws UncheckedIOException if no signal can be sent. */
-    void term() {
+    void terminate() {
         isExitExpected = true;
         // Not destroy(), which closes the child's standard input too: the child takes that for its
         // parent's exit.
-        signal("-TERM");
+        sendSignal("-TERM");
     }
 
     /** Sends SIGSTOP or SIGCONT; throws UncheckedIOException if no signal can be sent. */
-    void pause(boolean on) {
-        if (isAlive() && isStopped != on) {
-            isStopped = on;
-            signal(on ? "-STOP" : "-CONT");
+    void setStopped(boolean stopped) {
+        if (isAlive() && isStopped != stopped) {
+            isStopped = stopped;
+            sendSignal(stopped ? "-STOP" : "-CONT");
         }
     }
 
-    private void signal(String which) {
+    private void sendSignal(String option) {
         try {
-            Process kill = new ProcessBuilder("kill", which, Long.toString(process.pid())).start();
+            Process kill = new ProcessBuilder("kill", option, Long.toString(process.pid())).start();
             if (!kill.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS)) {
                 kill.destroyForcibly();
             }
@@ -128,11 +128,11 @@
     }
 
     /** Returns the last lines of its log, on one line. */
-    String lastLines() {
+    String logTail() {
         try {
             List<String> lines =
-                    Files.readString(log, StandardCharsets.UTF_8).lines().toList();
-            return String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+                    Files.readString(logFile, StandardCharsets.UTF_8).lines().toList();
+            return String.join(" | ", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException e) {
             return "(no log: " + e.getMessage() + ")";
         }
--- a/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
@@ -25,24 +25,24 @@
      * Returns the configuration file of a node.
      *
      * @param seed of the node's random numbers, hexadecimal
-     * @param membership the part that {@link #membership} returns, or empty
+     * @param membershipSection the section that {@link #membershipSection} returns, or an empty string
      */
-    static String of(Scenario scenario, int node, String seed, Addresses addresses, String membership) {
-        return node(scenario, node, seed, addresses)
+    static String of(Scenario scenario, int node, String seed, Addresses addresses, String membershipSection) {
+        return nodeSection(scenario, node, seed, addresses)
                 + """
                 [discovery]
                 address = "%s"
-                """.formatted(Channels.text(addresses.discovery))
-                + service(scenario.nodes(), scenario.servers())
+                """.formatted(Channels.formatAddress(addresses.discovery))
+                + serviceSection(scenario.nodes(), scenario.servers())
                 + """
                 [log]
                 level = "%s"
                 """.formatted(scenario.nodes().logLevel())
-                + membership
-                + scenario.classes().stream().map(NodeToml::requestClass).collect(Collectors.joining());
+                + membershipSection
+                + scenario.classes().stream().map(NodeToml::requestClassSection).collect(Collectors.joining());
     }
 
-    private static String node(Scenario scenario, int node, String seed, Addresses addresses) {
+    private static String nodeSection(Scenario scenario, int node, String seed, Addresses addresses) {
         return """
                 [node]
                 name = "%s"
@@ -52,13 +52,13 @@
                 seed = "%s"
                 """.formatted(
                         ProcessNames.node(node),
-                        Channels.text(addresses.listen),
-                        Channels.text(addresses.admin),
+                        Channels.formatAddress(addresses.listen),
+                        Channels.formatAddress(addresses.admin),
                         scenario.zone(node),
                         seed);
     }
 
-    private static String service(Scenario.Nodes nodes, Scenario.Servers servers) {
+    private static String serviceSection(Scenario.Nodes nodes, Scenario.Servers servers) {
         return """
                 [service]
                 nodes = %d
@@ -76,7 +76,7 @@
     }
 
     /** Returns the membership part; {@code advertise} is where other members reach the node. */
-    static String membership(
+    static String membershipSection(
             Scenario.Cluster cluster,
             InetSocketAddress listen,
             InetSocketAddress advertise,
@@ -88,13 +88,13 @@
                 deployment = "rig"
                 seeds = [%s]
                 %s""".formatted(
-                        Channels.text(listen),
-                        Channels.text(advertise),
-                        TomlFragments.quoted(seeds.stream().map(Channels::text).toList()),
-                        TomlFragments.probeTiming(cluster));
+                Channels.formatAddress(listen),
+                Channels.formatAddress(advertise),
+                TomlFragments.quoted(seeds.stream().map(Channels::formatAddress).toList()),
+                TomlFragments.probeTiming(cluster));
     }
 
-    private static String requestClass(RequestClass requestClass) {
+    private static String requestClassSection(RequestClass requestClass) {
         return """
                 [[classes]]
                 name = "%s"
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
@@ -27,7 +27,7 @@
         try {
             super.nodeFault(number, fault, begins);
         } catch (UncheckedIOException e) {
-            context.finished().completeExceptionally(e);
+            context.completion().completeExceptionally(e);
         }
     }
 
@@ -68,6 +68,6 @@
 
     @Override
     protected long clientLinkClearedUs(int node) {
-        return context.clock.nowUs() + context.clientLinks.get(node).busyForUs();
+        return context.clock.nowUs() + context.clientLinks.get(node).remainingTransitUs();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -12,13 +12,13 @@
 /** A node of a run on real processes: its addresses, its clients, and the process that it has now. */
 final class ProcessNodeHandle extends NodeHandle {
     /** A node's readiness is polled this often, and less often where many are. */
-    private static final long READY_POLL_US = 100_000;
+    private static final long READY_POLL_INTERVAL_US = 100_000;
 
-    private static final long READY_POLL_PER_NODE_US = 10_000;
-    private static final long VIEW_POLL_US = 200_000;
-    private static final long VIEW_POLL_PER_NODE_US = 20_000;
-    private static final long EXIT_CHECK_US = 20_000;
-    private static final int OK = 200;
+    private static final long READY_POLL_INTERVAL_PER_NODE_US = 10_000;
+    private static final long VIEW_POLL_INTERVAL_US = 200_000;
+    private static final long VIEW_POLL_INTERVAL_PER_NODE_US = 20_000;
+    private static final long EXIT_CHECK_INTERVAL_US = 20_000;
+    private static final int STATUS_OK = 200;
 
     private final ProcessRunContext context;
     private final ClientLoadBalancer clientLoadBalancer;
@@ -28,19 +28,19 @@
     private NodeProcess process;
     private LoadGenerator clients;
     /** As last polled; empty before the first poll of a process. */
-    private Optional<MembershipSnapshot> view = Optional.empty();
+    private Optional<MembershipSnapshot> lastView = Optional.empty();
 
     private boolean isReady;
     /** A fault has ended its process, and it was not started again yet. */
-    private boolean isDown;
+    private boolean isEndedByFault;
 
-    ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator hosts) {
+    ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator loopback) {
         super(number, context.scenario, context.checker, context.scheduler, context.clock::nowUs);
         this.context = context;
         clientLoadBalancer = context.clientLoadBalancer;
-        clientAddress = hosts.listen(number);
-        adminAddress = hosts.admin(number);
-        memberAddress = hosts.member(number);
+        clientAddress = loopback.clientAddress(number);
+        adminAddress = loopback.adminAddress(number);
+        memberAddress = loopback.memberAddress(number);
     }
 
     /** Gives it its process, which is not started yet. */
@@ -83,7 +83,7 @@
     /** Returns them by the last view that was polled. */
     @Override
     protected Set<Integer> presentMembers() {
-        return view.map(MembershipSnapshot::present).orElse(Set.of());
+        return lastView.map(MembershipSnapshot::presentMembers).orElse(Set.of());
     }
 
     @Override
@@ -98,13 +98,13 @@
 
     /** Polls the node's readiness from now on, as the client load balancer does. */
     void pollReadiness() {
-        int polled = generation();
-        HttpPoller.get(context.loop, clientAddress, "/ready", response -> {
-            if (polled == generation()) {
-                response.ifPresent(received -> setReady(received.status() == OK));
+        int polledGeneration = generation();
+        HttpGetClient.get(context.loop, clientAddress, "/ready", response -> {
+            if (polledGeneration == generation()) {
+                response.ifPresent(received -> setReady(received.status() == STATUS_OK));
             }
-            long pauseUs = Math.max(READY_POLL_US, READY_POLL_PER_NODE_US * context.nodes.size());
-            scheduler.after(pauseUs, this::pollReadiness);
+            long intervalUs = Math.max(READY_POLL_INTERVAL_US, READY_POLL_INTERVAL_PER_NODE_US * context.nodes.size());
+            scheduler.after(intervalUs, this::pollReadiness);
         });
     }
 
@@ -123,80 +123,80 @@
 
     /** Polls the node's membership view from now on. */
     void pollView() {
-        int polled = generation();
-        HttpPoller.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
-            if (polled == generation() && !process.isStopped()) {
-                response.filter(received -> received.status() == OK)
-                        .ifPresent(received -> setView(MembershipSnapshot.read(number(), received.body())));
+        int polledGeneration = generation();
+        HttpGetClient.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
+            if (polledGeneration == generation() && !process.isStopped()) {
+                response.filter(received -> received.status() == STATUS_OK)
+                        .ifPresent(received -> setView(MembershipSnapshot.parse(number(), received.body())));
             }
-            long pauseUs = Math.max(VIEW_POLL_US, VIEW_POLL_PER_NODE_US * context.nodes.size());
-            scheduler.after(pauseUs, this::pollView);
+            long intervalUs = Math.max(VIEW_POLL_INTERVAL_US, VIEW_POLL_INTERVAL_PER_NODE_US * context.nodes.size());
+            scheduler.after(intervalUs, this::pollView);
         });
     }
 
-    private void setView(MembershipSnapshot polled) {
-        view = Optional.of(polled);
-        checker.membershipChecker().ifPresent(members -> checkView(members, polled));
+    private void setView(MembershipSnapshot view) {
+        lastView = Optional.of(view);
+        checker.membershipChecker().ifPresent(members -> checkView(members, view));
     }
 
-    private void checkView(MembershipInvariantChecker members, MembershipSnapshot polled) {
-        if (!isDown) {
-            members.setLiveIncarnation(number(), polled.incarnation());
+    private void checkView(MembershipInvariantChecker members, MembershipSnapshot view) {
+        if (!isEndedByFault) {
+            members.setLiveIncarnation(number(), view.ownIncarnation());
         }
         // Each line has the time since its last change: a poll now and then still gives the time of a change.
-        polled.lines()
-                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), polled.incarnation(), line));
+        view.unchangedUsByLine()
+                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), view.ownIncarnation(), line));
     }
 
-    private void processEnded() {
+    private void handleProcessEnd() {
         nextGeneration();
         checker.membershipChecker().ifPresent(members -> members.memberDied(number(), nowUs()));
-        view = Optional.empty();
+        lastView = Optional.empty();
         isReady = false;
         clientLoadBalancer.nodeDied(number());
-        endExcuseWithProcess(checker.excuseNode(nowUs(), number()));
+        endExcuseWhenProcessExits(checker.excuseNode(nowUs(), number()));
     }
 
     /** SIGKILL takes a moment, in which clients may still connect. */
-    private void endExcuseWithProcess(Excuse excuse) {
+    private void endExcuseWhenProcessExits(Excuse excuse) {
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_US, () -> endExcuseWithProcess(excuse));
+            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExcuseWhenProcessExits(excuse));
         } else {
             excuse.end(nowUs());
         }
     }
 
     /** Its process ended although no fault ended it. */
-    void processDied(String reason) {
+    void handleUnexpectedExit(String reason) {
         checker.processDied(nowUs(), name(), reason);
-        processEnded();
+        handleProcessEnd();
     }
 
     @Override
     public void kill() {
-        isDown = true;
+        isEndedByFault = true;
         process.kill();
-        processEnded();
+        handleProcessEnd();
     }
 
     @Override
     public void terminate() {
-        isDown = true;
+        isEndedByFault = true;
         checker.membershipChecker().ifPresent(members -> members.clearLiveIncarnation(number()));
-        process.term();
+        process.terminate();
         enforceTermination();
     }
 
     /** Starts a process as soon as the old one has exited. */
     @Override
     public void restart() {
-        if (!isDown || context.isFinished()) {
+        if (!isEndedByFault || context.isFinished()) {
             return;
         }
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_US, this::restart);
+            scheduler.after(EXIT_CHECK_INTERVAL_US, this::restart);
         } else {
-            isDown = false;
+            isEndedByFault = false;
             nextGeneration();
             isReady = false;
             process.start();
@@ -205,7 +205,7 @@
 
     @Override
     public void pause(boolean on) {
-        process.pause(on);
+        process.setStopped(on);
         if (on) {
             beginPauseExcuse();
         } else {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -32,10 +32,10 @@
     /** Clients come when all nodes are ready, or after 30 s (DEPLOY); many at once need a second each. */
     private static final long READY_TIMEOUT_S = 30;
 
-    private static final long READY_CHECK_US = 20_000;
+    private static final long READY_CHECK_INTERVAL_US = 20_000;
     private static final long EXIT_TIMEOUT_S = 20;
-    private static final long SECOND_US = 1_000_000;
-    private static final Pattern IN_FLIGHT = Pattern.compile("(?m)^node\\.in_flight=([0-9]+)$");
+    private static final long US_PER_SECOND = 1_000_000;
+    private static final Pattern IN_FLIGHT_METRIC = Pattern.compile("(?m)^node\\.in_flight=([0-9]+)$");
 
     private final Scenario scenario;
     private final Progress progress;
@@ -53,7 +53,7 @@
     /**
      * Runs the scenario and returns the checker, which has seen all events.
      *
-     * @param command starts a node when its file is added
+     * @param nodeCommand the command that starts a node when the path of its configuration file is appended
      * @param folder for files and logs
      * @param progress is notified each second, on the event loop
      * @throws InsufficientResourcesException if the machine has too few resources; nothing was started then
@@ -63,21 +63,21 @@
      * @throws IOException if a file can't be written or the testbed's own helper process can't be started
      */
     public static InvariantChecker run(
-            Scenario scenario, long seed, List<String> command, Path folder, Progress progress)
+            Scenario scenario, long seed, List<String> nodeCommand, Path folder, Progress progress)
             throws IOException, InsufficientResourcesException, InterruptedException {
-        Capacity.require(scenario);
+        ResourceCheck.requireEnoughFor(scenario);
         ProcessRun run = new ProcessRun(scenario, seed, progress);
-        try (LoopbackAllocator hosts = LoopbackAllocator.claim();
+        try (LoopbackAllocator loopback = LoopbackAllocator.claim();
                 ChildProcessReaper reaper = new ChildProcessReaper()) {
-            new ProcessRunContextBuilder(run.context, command, folder, hosts, reaper).build();
+            new ProcessRunContextBuilder(run.context, nodeCommand, folder, loopback, reaper).build();
             run.startNodes();
-            run.context.loop.execute(run::begin);
-            run.context.finished().get();
+            run.context.loop.execute(run::startLoad);
+            run.context.completion().get();
             run.shutDownNodes();
         } catch (ExecutionException e) {
             throw new RunAbortedException("the run failed: " + e.getCause().getMessage(), e.getCause());
         } finally {
-            run.close();
+            run.releaseResources();
         }
         return run.checker;
     }
@@ -89,43 +89,43 @@
                 node.process().start();
                 node.pollReadiness();
             });
-            awaitReady(ready);
+            completeWhenReady(ready);
         });
         // Many nodes that start at once need a second each.
         long timeoutS = Math.max(READY_TIMEOUT_S, context.nodes.size());
         try {
             ready.get(timeoutS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            throw new NodeStartException("not ready within " + timeoutS + " s: " + notReady(), e);
+            throw new NodeStartException("not ready within " + timeoutS + " s: " + describeUnreadyNodes(), e);
         } catch (ExecutionException e) {
             throw new NodeStartException(e.getCause().getMessage(), e);
         }
     }
 
-    private List<String> notReady() {
+    private List<String> describeUnreadyNodes() {
         return context.nodes.stream()
                 .filter(node -> !node.isReady())
-                .map(node -> node.name() + " (" + node.process().lastLines() + ")")
+                .map(node -> node.name() + " (" + node.process().logTail() + ")")
                 .toList();
     }
 
-    private void awaitReady(CompletableFuture<Void> ready) {
+    private void completeWhenReady(CompletableFuture<Void> ready) {
         if (!checker.violations().isEmpty()) {
             ready.completeExceptionally(
                     new NodeStartException(checker.violations().get(0).description()));
         } else if (context.nodes.stream().allMatch(ProcessNodeHandle::isReady)) {
             ready.complete(null);
         } else {
-            context.scheduler.after(READY_CHECK_US, () -> awaitReady(ready));
+            context.scheduler.after(READY_CHECK_INTERVAL_US, () -> completeWhenReady(ready));
         }
     }
 
-    private void begin() {
+    private void startLoad() {
         LOG.atInfo()
                 .addKeyValue("event", "run.started")
                 .addKeyValue("scenario", scenario.name())
                 .log("run started");
-        context.clock.begin();
+        context.clock.markLoadStart();
         new FaultSchedule(scenario, new ProcessFaultInjector(context)).start(context.scheduler);
         if (scenario.cluster() != null) {
             context.nodes.forEach(ProcessNodeHandle::pollView);
@@ -135,14 +135,14 @@
         reportProgress(1, Map.of());
     }
 
-    private void reportProgress(long second, Map<End, Long> before) {
-        context.scheduler.after(second * SECOND_US - context.clock.nowUs(), () -> {
+    private void reportProgress(long second, Map<End, Long> previousCounts) {
+        context.scheduler.after(second * US_PER_SECOND - context.clock.nowUs(), () -> {
             Map<End, Long> counts = checker.statistics().counts();
-            Map<End, Long> ends = new EnumMap<>(counts);
-            ends.replaceAll((end, count) -> count - before.getOrDefault(end, 0L));
+            Map<End, Long> endsInSecond = new EnumMap<>(counts);
+            endsInSecond.replaceAll((end, count) -> count - previousCounts.getOrDefault(end, 0L));
             List<Boolean> ready =
                     context.nodes.stream().map(ProcessNodeHandle::isReady).toList();
-            progress.onSecond(second, ends, ready, checker.violationCount());
+            progress.onSecond(second, endsInSecond, ready, checker.violationCount());
             if (!context.isFinished()) {
                 reportProgress(second + 1, counts);
             }
@@ -152,12 +152,12 @@
     private void checkNothingInFlight() {
         List<ProcessNodeHandle> ready =
                 context.nodes.stream().filter(ProcessNodeHandle::isReady).toList();
-        int[] pending = {ready.size()};
+        int[] remainingResponses = {ready.size()};
         for (ProcessNodeHandle node : ready) {
-            HttpPoller.get(context.loop, node.adminAddress(), "/_vars", response -> {
+            HttpGetClient.get(context.loop, node.adminAddress(), "/_vars", response -> {
                 checkNothingInFlight(
-                        node, response.map(HttpPoller.Response::body).orElse(""));
-                if (--pending[0] == 0) {
+                        node, response.map(HttpGetClient.Response::body).orElse(""));
+                if (--remainingResponses[0] == 0) {
                     finish();
                 }
             });
@@ -168,7 +168,7 @@
     }
 
     private void checkNothingInFlight(ProcessNodeHandle node, String metrics) {
-        Matcher inFlight = IN_FLIGHT.matcher(metrics);
+        Matcher inFlight = IN_FLIGHT_METRIC.matcher(metrics);
         if (!inFlight.find()) {
             checker.resourceLeaked(context.clock.nowUs(), node.name() + " does not say what it holds");
         } else if (!inFlight.group(1).equals("0")) {
@@ -181,7 +181,7 @@
         context.nodes.forEach(node -> node.clients().close());
         MembershipAgreement.check(scenario, checker, context.nodes, context.clock.nowUs());
         checker.finish(context.clock.nowUs());
-        context.finished().complete(null);
+        context.completion().complete(null);
     }
 
     /** Ends the nodes by SIGTERM; one that does not exit is a violation. */
@@ -190,8 +190,8 @@
                 .map(ProcessNodeHandle::process)
                 .filter(NodeProcess::isAlive)
                 .forEach(process -> {
-                    process.pause(false);
-                    process.term();
+                    process.setStopped(false);
+                    process.terminate();
                 });
         for (ProcessNodeHandle node : context.nodes) {
             if (!node.process().process().waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
@@ -201,7 +201,7 @@
         }
     }
 
-    private void close() {
+    private void releaseResources() {
         context.nodes.stream()
                 .filter(ProcessNodeHandle::isAlive)
                 .forEach(node -> node.process().kill());
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
@@ -35,7 +35,7 @@
     /** By node, the links from the clients that some fault is on. */
     final Map<Integer, Relay> clientLinks = new TreeMap<>();
 
-    private final CompletableFuture<Void> finished = new CompletableFuture<>();
+    private final CompletableFuture<Void> completion = new CompletableFuture<>();
     /** Empty where no fault is on a link between nodes, which then exchange messages directly. */
     private Optional<MembershipLinks> memberLinks = Optional.empty();
 
@@ -78,11 +78,11 @@
     }
 
     /** Returns a future that completes when the run is over, or exceptionally when it cannot go on. */
-    CompletableFuture<Void> finished() {
-        return finished;
+    CompletableFuture<Void> completion() {
+        return completion;
     }
 
     boolean isFinished() {
-        return finished.isDone();
+        return completion.isDone();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -28,28 +28,28 @@
 final class ProcessRunContextBuilder {
     private final Scenario scenario;
     private final ProcessRunContext context;
-    private final List<String> command;
+    private final List<String> nodeCommand;
     private final Path folder;
-    private final LoopbackAllocator hosts;
+    private final LoopbackAllocator loopback;
     private final ChildProcessReaper reaper;
 
     /**
      * Creates a builder.
      *
-     * @param command starts a node when its file is added
+     * @param nodeCommand the command that starts a node when the path of its configuration file is appended
      * @param folder for files and logs
      */
     ProcessRunContextBuilder(
             ProcessRunContext context,
-            List<String> command,
+            List<String> nodeCommand,
             Path folder,
-            LoopbackAllocator hosts,
+            LoopbackAllocator loopback,
             ChildProcessReaper reaper) {
         scenario = context.scenario;
         this.context = context;
-        this.command = command;
+        this.nodeCommand = nodeCommand;
         this.folder = folder;
-        this.hosts = hosts;
+        this.loopback = loopback;
         this.reaper = reaper;
     }
 
@@ -66,7 +66,7 @@
             context.setMemberLinks(new MembershipLinks(context.loop, context.scheduler, context.seed));
         }
         for (int number = 0; number < scenario.nodes().count(); number++) {
-            context.nodes.add(node(number));
+            context.nodes.add(createNode(number));
         }
         startClientLinks();
         for (ProcessNodeHandle node : context.nodes) {
@@ -81,15 +81,15 @@
     }
 
     private void startServers() throws IOException {
-        Map<String, RequestClass> classes = new HashMap<>();
-        scenario.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
+        Map<String, RequestClass> classesByName = new HashMap<>();
+        scenario.classes().forEach(requestClass -> classesByName.put(requestClass.name(), requestClass));
         for (int number = 0; number < scenario.servers().count(); number++) {
             String name = ProcessNames.server(number);
             WebServer model =
                     new WebServer(name, scenario.servers(), context.scheduler, RandomStreams.of(context.seed, name));
             StubWebServer server =
-                    new StubWebServer(context.loop, model, number, context.checker, context.clock, classes);
-            server.start(hosts.server(number));
+                    new StubWebServer(context.loop, model, number, context.checker, context.clock, classesByName);
+            server.start(loopback.serverHost(number));
             context.servers.add(server);
             context.registry.put(name, number, State.READY, 0);
         }
@@ -101,35 +101,35 @@
             int server = link % context.servers.size();
             context.serverLinks.put(
                     link,
-                    relay(
+                    startRelay(
                             ProcessNames.node(node) + ">" + ProcessNames.server(server),
                             scenario.linkDelayUs(node, server),
                             context.servers.get(server).address(),
-                            hosts.server(server)));
+                            loopback.serverHost(server)));
         }
     }
 
     private void startClientLinks() throws IOException {
         for (int number : FaultSchedule.faultyClientLinks(scenario)) {
             ProcessNodeHandle node = context.nodes.get(number);
-            Relay relay = relay(
+            Relay relay = startRelay(
                     "clients>" + node.name(),
                     scenario.linkDelays().sameZoneUs(),
                     node.clientAddress(),
-                    hosts.node(number));
+                    loopback.nodeHost(number));
             context.clientLinks.put(number, relay);
         }
     }
 
-    private Relay relay(String name, long delayUs, InetSocketAddress target, String host) throws IOException {
+    private Relay startRelay(String name, long delayUs, InetSocketAddress target, String host) throws IOException {
         LinkState state = new LinkState(delayUs, RandomStreams.of(context.seed, name));
         Relay relay = new Relay(context.loop, context.scheduler, state, target);
         relay.start(host);
         return relay;
     }
 
-    private ProcessNodeHandle node(int number) throws IOException {
-        ProcessNodeHandle node = new ProcessNodeHandle(number, context, hosts);
+    private ProcessNodeHandle createNode(int number) throws IOException {
+        ProcessNodeHandle node = new ProcessNodeHandle(number, context, loopback);
         DiscoveryAgent agent = new DiscoveryAgent(
                 context.loop,
                 scenario,
@@ -138,36 +138,38 @@
                 server -> context.serverAddress(number, server),
                 context.checker,
                 context.clock);
-        agent.start(hosts.node(number));
-        Path file = folder.resolve(node.name() + ".toml");
-        Path log = folder.resolve(node.name() + ".log");
+        agent.start(loopback.nodeHost(number));
+        Path configFile = folder.resolve(node.name() + ".toml");
+        Path logFile = folder.resolve(node.name() + ".log");
         Files.writeString(
-                file,
+                configFile,
                 NodeToml.of(
                         scenario,
                         number,
                         HexFormat.of().toHexDigits(RandomStreams.seedOf(context.seed, node.name())),
                         new NodeToml.Addresses(node.clientAddress(), node.adminAddress(), agent.address()),
-                        membershipPart(number)));
-        node.setProcess(new NodeProcess(node.name(), command, file, log, reaper, context.loop, node::processDied));
+                        membershipSection(number)));
+        node.setProcess(new NodeProcess(
+                node.name(), nodeCommand, configFile, logFile, reaper, context.loop, node::handleUnexpectedExit));
         return node;
     }
 
     /** Returns the membership part of a node's file, empty if the scenario has no cluster. */
-    private String membershipPart(int number) throws IOException {
+    private String membershipSection(int number) throws IOException {
         if (scenario.cluster() == null) {
             return "";
         }
         Optional<MembershipLinks> links = context.memberLinks();
         if (links.isPresent()) {
-            links.get().open(hosts.memberProxy(number), hosts.member(number));
+            links.get().openProxy(loopback.memberProxyAddress(number), loopback.memberAddress(number));
         }
-        IntFunction<InetSocketAddress> advertised = links.isPresent() ? hosts::memberProxy : hosts::member;
-        int seeds = Math.min(Scenario.SEED_MEMBERS, scenario.nodes().count());
-        return NodeToml.membership(
+        IntFunction<InetSocketAddress> advertisedAddress =
+                links.isPresent() ? loopback::memberProxyAddress : loopback::memberAddress;
+        int seedCount = Math.min(Scenario.SEED_MEMBERS, scenario.nodes().count());
+        return NodeToml.membershipSection(
                 scenario.cluster(),
-                hosts.member(number),
-                advertised.apply(number),
-                IntStream.range(0, seeds).mapToObj(advertised).toList());
+                loopback.memberAddress(number),
+                advertisedAddress.apply(number),
+                IntStream.range(0, seedCount).mapToObj(advertisedAddress).toList());
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -26,26 +26,26 @@
 
     private final EventLoop loop;
     private final Scheduler scheduler;
-    private final LinkState state;
+    private final LinkState linkState;
     private final InetSocketAddress target;
     private final Set<RelayConnection> connections = new LinkedHashSet<>();
     private InetSocketAddress address;
     private Channel listener;
     private boolean isBinding;
     /** In place of {@link #listener} while handshakes get no response; empty otherwise. */
-    private Optional<UnresponsiveListener> unresponsive = Optional.empty();
+    private Optional<UnresponsiveListener> unresponsiveListener = Optional.empty();
 
-    Relay(EventLoop loop, Scheduler scheduler, LinkState state, InetSocketAddress target) {
+    Relay(EventLoop loop, Scheduler scheduler, LinkState linkState, InetSocketAddress target) {
         this.loop = loop;
         this.scheduler = scheduler;
-        this.state = state;
+        this.linkState = linkState;
         this.target = target;
     }
 
     /** Listens at this host, at a port of its own; not to be called on the loop. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
-        address = Channels.local(listener);
+        address = Channels.localAddress(listener);
     }
 
     InetSocketAddress address() {
@@ -53,13 +53,13 @@
     }
 
     /** Returns for how long what has entered is still in transit, in microseconds. */
-    long busyForUs() {
-        return Math.max(0, state.busyUntilUs() - scheduler.nowUs());
+    long remainingTransitUs() {
+        return Math.max(0, linkState.busyUntilUs() - scheduler.nowUs());
     }
 
     /** Begins or ends a fault; to be called on the loop. */
     void applyFault(Fault fault, boolean begins) {
-        state.apply(fault, begins);
+        linkState.apply(fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
             List.copyOf(connections).forEach(RelayConnection::reset);
         }
@@ -71,7 +71,7 @@
 
     /** Returns whether a handshake gets no response now. */
     boolean blocksHandshakes() {
-        return unresponsive.isPresent();
+        return unresponsiveListener.isPresent();
     }
 
     /**
@@ -79,9 +79,9 @@
      * in which connections are refused.
      */
     private void updateListener() {
-        if (state.blocksHandshakes() && unresponsive.isEmpty()) {
+        if (linkState.blocksHandshakes() && unresponsiveListener.isEmpty()) {
             stopResponding();
-        } else if (!state.blocksHandshakes() && !listener.isOpen() && !isBinding) {
+        } else if (!linkState.blocksHandshakes() && !listener.isOpen() && !isBinding) {
             listenAgain();
         }
     }
@@ -89,7 +89,7 @@
     private void stopResponding() {
         listener.close();
         try {
-            unresponsive = Optional.of(new UnresponsiveListener(address));
+            unresponsiveListener = Optional.of(new UnresponsiveListener(address));
         } catch (BindException e) {
             // The selector releases a closed socket only in its next turn.
             scheduler.after(REBIND_RETRY_US, this::updateListener);
@@ -99,13 +99,13 @@
     }
 
     private void listenAgain() {
-        unresponsive.ifPresent(UnresponsiveListener::close);
-        unresponsive = Optional.empty();
+        unresponsiveListener.ifPresent(UnresponsiveListener::close);
+        unresponsiveListener = Optional.empty();
         isBinding = true;
-        Channels.bind(loop, address, true, this::accept).addListener(done -> {
+        Channels.bind(loop, address, true, this::accept).addListener(bindResult -> {
             isBinding = false;
-            if (done.isSuccess()) {
-                listener = ((ChannelFuture) done).channel();
+            if (bindResult.isSuccess()) {
+                listener = ((ChannelFuture) bindResult).channel();
                 updateListener();
             } else {
                 scheduler.after(REBIND_RETRY_US, this::updateListener);
@@ -115,18 +115,18 @@
 
     /** Relays a connection; a link that does not listen itself is given its connections by this. */
     void accept(SocketChannel channel) {
-        if (state.isReset()) {
-            Channels.reset(channel);
+        if (linkState.isReset()) {
+            Channels.closeWithReset(channel);
             return;
         }
         channel.config().setAutoRead(false);
-        new RelayConnection(loop, scheduler, state, channel, connections).connect(target);
+        new RelayConnection(loop, scheduler, linkState, channel, connections).connect(target);
     }
 
     /** Resets all connections and listens no more. */
     void close() {
         listener.close();
-        unresponsive.ifPresent(UnresponsiveListener::close);
+        unresponsiveListener.ifPresent(UnresponsiveListener::close);
         List.copyOf(connections).forEach(RelayConnection::reset);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -16,76 +16,81 @@
 
     private final EventLoop loop;
     private final Scheduler scheduler;
-    private final LinkState state;
-    private final Set<RelayConnection> open;
-    private final Channel accepted;
+    private final LinkState linkState;
+    private final Set<RelayConnection> openConnections;
+    private final Channel acceptedChannel;
     /** Empty until the target has accepted. */
-    private Optional<OpenedSide> openedSide = Optional.empty();
+    private Optional<TargetSide> targetSide = Optional.empty();
 
     private boolean wasReset;
 
     /** The connection to the target, and the pipes to it and back. */
-    private record OpenedSide(Channel channel, RelayPipe there, RelayPipe back) {}
+    private record TargetSide(Channel channel, RelayPipe toTarget, RelayPipe fromTarget) {}
 
     /** Creates a connection that is in {@code open} until both of its channels are closed. */
-    RelayConnection(EventLoop loop, Scheduler scheduler, LinkState state, Channel accepted, Set<RelayConnection> open) {
+    RelayConnection(
+            EventLoop loop,
+            Scheduler scheduler,
+            LinkState linkState,
+            Channel acceptedChannel,
+            Set<RelayConnection> openConnections) {
         this.loop = loop;
         this.scheduler = scheduler;
-        this.state = state;
-        this.accepted = accepted;
-        this.open = open;
+        this.linkState = linkState;
+        this.acceptedChannel = acceptedChannel;
+        this.openConnections = openConnections;
     }
 
     /** Connects to the target and starts to relay; a target that refuses resets the accepted connection. */
     void connect(InetSocketAddress target) {
-        open.add(this);
-        accepted.closeFuture().addListener(closed -> removeIfClosed());
-        Channels.connect(loop, target, CONNECT_TIMEOUT_MS, false, channel -> {}).addListener(done -> {
-            if (done.isSuccess()) {
-                start(((ChannelFuture) done).channel());
+        openConnections.add(this);
+        acceptedChannel.closeFuture().addListener(closed -> removeIfClosed());
+        Channels.connect(loop, target, CONNECT_TIMEOUT_MS, false, channel -> {}).addListener(connectResult -> {
+            if (connectResult.isSuccess()) {
+                startRelaying(((ChannelFuture) connectResult).channel());
             } else {
-                Channels.reset(accepted);
+                Channels.closeWithReset(acceptedChannel);
             }
         });
     }
 
-    private void start(Channel opened) {
-        RelayPipe there = new RelayPipe(scheduler, state, accepted, opened, Direction.THERE);
-        RelayPipe back = new RelayPipe(scheduler, state, opened, accepted, Direction.BACK);
-        there.setReverse(back);
-        back.setReverse(there);
-        openedSide = Optional.of(new OpenedSide(opened, there, back));
-        opened.closeFuture().addListener(closed -> removeIfClosed());
-        accepted.pipeline().addLast(there);
-        opened.pipeline().addLast(back);
-        if (accepted.isActive()) {
-            there.open();
-            back.open();
+    private void startRelaying(Channel targetChannel) {
+        RelayPipe toTarget = new RelayPipe(scheduler, linkState, acceptedChannel, targetChannel, Direction.THERE);
+        RelayPipe fromTarget = new RelayPipe(scheduler, linkState, targetChannel, acceptedChannel, Direction.BACK);
+        toTarget.setReverse(fromTarget);
+        fromTarget.setReverse(toTarget);
+        targetSide = Optional.of(new TargetSide(targetChannel, toTarget, fromTarget));
+        targetChannel.closeFuture().addListener(closed -> removeIfClosed());
+        acceptedChannel.pipeline().addLast(toTarget);
+        targetChannel.pipeline().addLast(fromTarget);
+        if (acceptedChannel.isActive()) {
+            toTarget.startReading();
+            fromTarget.startReading();
         } else if (wasReset) {
             // It was reset while the other connection was being opened.
-            Channels.reset(opened);
+            Channels.closeWithReset(targetChannel);
         } else {
-            opened.close();
+            targetChannel.close();
         }
     }
 
     private void removeIfClosed() {
-        boolean isOpenedSideOpen =
-                openedSide.isPresent() && openedSide.get().channel().isOpen();
-        if (!accepted.isOpen() && !isOpenedSideOpen) {
-            open.remove(this);
-            openedSide.ifPresent(side -> {
-                side.there().releasePending();
-                side.back().releasePending();
+        boolean isTargetSideOpen =
+                targetSide.isPresent() && targetSide.get().channel().isOpen();
+        if (!acceptedChannel.isOpen() && !isTargetSideOpen) {
+            openConnections.remove(this);
+            targetSide.ifPresent(side -> {
+                side.toTarget().releasePending();
+                side.fromTarget().releasePending();
             });
         }
     }
 
     /** Forwards what is pending, as far as the link passes it. */
     void flush() {
-        openedSide.ifPresent(side -> {
-            side.there().flush();
-            side.back().flush();
+        targetSide.ifPresent(side -> {
+            side.toTarget().flush();
+            side.fromTarget().flush();
         });
     }
 
@@ -93,8 +98,8 @@
     void reset() {
         wasReset = true;
         // Both are prepared first: the end of one brings about the end of the other.
-        Channels.endWithReset(accepted);
-        openedSide.map(OpenedSide::channel).ifPresent(Channels::reset);
-        accepted.close();
+        Channels.resetOnClose(acceptedChannel);
+        targetSide.map(TargetSide::channel).ifPresent(Channels::closeWithReset);
+        acceptedChannel.close();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -20,7 +20,7 @@
     private static final int MAX_BUFFERED_BYTES = 1 << 18;
 
     private final Scheduler scheduler;
-    private final LinkState state;
+    private final LinkState linkState;
     private final Channel source;
     private final Channel sink;
     private final Direction direction;
@@ -31,11 +31,11 @@
 
     private RelayPipe reverse;
     private int bufferedBytes;
-    private boolean isEnded;
+    private boolean hasSourceEnded;
 
-    RelayPipe(Scheduler scheduler, LinkState state, Channel source, Channel sink, Direction direction) {
+    RelayPipe(Scheduler scheduler, LinkState linkState, Channel source, Channel sink, Direction direction) {
         this.scheduler = scheduler;
-        this.state = state;
+        this.linkState = linkState;
         this.source = source;
         this.sink = sink;
         this.direction = direction;
@@ -47,7 +47,7 @@
     }
 
     /** Starts to read. */
-    void open() {
+    void startReading() {
         source.config().setAutoRead(true);
     }
 
@@ -62,12 +62,12 @@
 
     /** Forwards what is pending, each chunk in its time, unless the link is cut. */
     void flush() {
-        while (!pending.isEmpty() && !state.isCut(direction)) {
+        while (!pending.isEmpty() && !linkState.isCut(direction)) {
             ByteBuf chunk = pending.poll();
-            afterTransit(chunk.readableBytes(), () -> write(chunk));
+            runAfterTransit(chunk.readableBytes(), () -> write(chunk));
         }
-        if (isEnded && pending.isEmpty() && !state.isCut(direction) && !state.isHalfOpen()) {
-            afterTransit(0, sink::close);
+        if (hasSourceEnded && pending.isEmpty() && !linkState.isCut(direction) && !linkState.isHalfOpen()) {
+            runAfterTransit(0, sink::close);
         }
     }
 
@@ -91,9 +91,9 @@
         reverse.updateReading();
     }
 
-    private void afterTransit(int bytes, Runnable task) {
+    private void runAfterTransit(int bytes, Runnable task) {
         long nowUs = scheduler.nowUs();
-        long transitUs = state.dueUs(direction, nowUs, bytes) - nowUs;
+        long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
         if (transitUs <= 0 && inTransit.isEmpty()) {
             task.run();
         } else {
@@ -110,15 +110,15 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        isEnded = true;
+        hasSourceEnded = true;
         flush();
     }
 
     /** The source was reset, which is forwarded as a reset. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!state.isCut(direction) && !state.isHalfOpen()) {
-            Channels.reset(sink);
+        if (!linkState.isCut(direction) && !linkState.isHalfOpen()) {
+            Channels.closeWithReset(sink);
         }
         ctx.close();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
@@ -32,8 +32,8 @@
  * once. Its methods block, and are not to be called on an event loop.
  */
 final class RequestRateBenchmark {
-    private static final int REQUESTS = 40_000;
-    private static final int MAX_OPEN = 32;
+    private static final int REQUEST_COUNT = 40_000;
+    private static final int MAX_OPEN_REQUESTS = 32;
     private static final int MAX_BODY_BYTES = 1 << 16;
     private static final long REFILL_INTERVAL_US = 50;
     private static final long TIMEOUT_S = 30;
@@ -71,33 +71,34 @@
     }
 
     /** Returns the number of requests per second. */
-    double requestsPerS() throws InterruptedException, ExecutionException, TimeoutException {
+    double measureRequestsPerS() throws InterruptedException, ExecutionException, TimeoutException {
         EventLoopScheduler scheduler = new EventLoopScheduler(clientLoop);
         RunClock clock = new RunClock(scheduler);
         InvariantChecker checker = new InvariantChecker(scenario);
-        LoadGenerator clients = new LoadGenerator(clientLoop, scheduler, clock, checker, 0, Channels.local(server));
+        LoadGenerator clients =
+                new LoadGenerator(clientLoop, scheduler, clock, checker, 0, Channels.localAddress(server));
         CompletableFuture<Void> done = new CompletableFuture<>();
         long startNs = System.nanoTime();
         clientLoop.execute(() -> keepRequestsOpen(clients, clock, 0, done));
         done.get(TIMEOUT_S, TimeUnit.SECONDS);
         double elapsedS = (System.nanoTime() - startNs) / NS_PER_S;
         clientLoop.submit(clients::close).get();
-        return REQUESTS / elapsedS;
+        return REQUEST_COUNT / elapsedS;
     }
 
     private void keepRequestsOpen(LoadGenerator clients, RunClock clock, int sentBefore, CompletableFuture<Void> done) {
         int sent = sentBefore;
-        while (clients.open() < MAX_OPEN && sent < REQUESTS) {
+        while (clients.openRequestCount() < MAX_OPEN_REQUESTS && sent < REQUEST_COUNT) {
             clients.send(Integer.toHexString(sent++), scenario.classes().get(0), clock.nowUs());
         }
-        int sentNow = sent;
-        if (sentNow == REQUESTS && clients.open() == 0) {
+        int sentCount = sent;
+        if (sentCount == REQUEST_COUNT && clients.openRequestCount() == 0) {
             done.complete(null);
         } else {
             // A timer and not a task: tasks that follow each other at once would keep the loop from its
             // sockets.
             clientLoop.schedule(
-                    () -> keepRequestsOpen(clients, clock, sentNow, done), REFILL_INTERVAL_US, TimeUnit.MICROSECONDS);
+                    () -> keepRequestsOpen(clients, clock, sentCount, done), REFILL_INTERVAL_US, TimeUnit.MICROSECONDS);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/Capacity.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ResourceCheck.java
@@ -9,48 +9,48 @@
 import tansypass.testbed.scenario.Scenario;
 
 /** Checks before a run that this machine has the memory and the descriptors for it. */
-final class Capacity {
+final class ResourceCheck {
     /** A node's resident memory, with some to spare; measured at 95 to 115 MB. */
-    private static final long NODE_MB = 130;
+    private static final long NODE_MEMORY_MB = 130;
 
-    private static final int DESCRIPTORS_SPARE = 200;
+    private static final int SPARE_DESCRIPTORS = 200;
 
-    private Capacity() {}
+    private ResourceCheck() {}
 
     /**
      * Checks memory and descriptors.
      *
      * @throws InsufficientResourcesException if this machine has too few
      */
-    static void require(Scenario scenario) throws InsufficientResourcesException {
-        long freeMb = freeMb();
-        long fit = freeMb / NODE_MB;
-        if (scenario.nodes().count() > fit) {
-            throw new InsufficientResourcesException(scenario.nodes().count() + " nodes wanted, " + fit + " fit: "
-                    + freeMb + " MB are free and a node takes up to " + NODE_MB + " MB");
+    static void requireEnoughFor(Scenario scenario) throws InsufficientResourcesException {
+        long freeMemoryMb = freeMemoryMb();
+        long maxNodes = freeMemoryMb / NODE_MEMORY_MB;
+        if (scenario.nodes().count() > maxNodes) {
+            throw new InsufficientResourcesException(scenario.nodes().count() + " nodes wanted, " + maxNodes + " fit: "
+                    + freeMemoryMb + " MB are free and a node takes up to " + NODE_MEMORY_MB + " MB");
         }
-        long links = FaultSchedule.faultyLinks(scenario).size();
+        long linkCount = FaultSchedule.faultyLinks(scenario).size();
         // A client's connection has one descriptor here, one to a server too, and a link's two.
-        long wanted = scenario.servers().count()
+        long neededDescriptors = scenario.servers().count()
                 + 2L * scenario.nodes().count()
-                + links
+                + linkCount
                 + 2L
                         * Math.min(scenario.clients().maxOpenRequests(), (long)
                                 (scenario.clients().requestsPerS() * 2))
-                + DESCRIPTORS_SPARE;
-        if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
-                && wanted > system.getMaxFileDescriptorCount()) {
-            throw new InsufficientResourcesException("about " + wanted + " descriptors wanted, "
-                    + system.getMaxFileDescriptorCount() + " allowed (ulimit -n)");
+                + SPARE_DESCRIPTORS;
+        if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean operatingSystem
+                && neededDescriptors > operatingSystem.getMaxFileDescriptorCount()) {
+            throw new InsufficientResourcesException("about " + neededDescriptors + " descriptors wanted, "
+                    + operatingSystem.getMaxFileDescriptorCount() + " allowed (ulimit -n)");
         }
     }
 
-    private static long freeMb() {
+    private static long freeMemoryMb() {
         try {
             return Files.readString(Path.of("/proc/meminfo"))
                     .lines()
-                    .filter(l -> l.startsWith("MemAvailable:"))
-                    .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) / 1_024)
+                    .filter(line -> line.startsWith("MemAvailable:"))
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")) / 1_024)
                     .findFirst()
                     .orElse(Long.MAX_VALUE);
         } catch (IOException e) {
--- a/testbed/src/main/java/tansypass/testbed/process/RunClock.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RunClock.java
@@ -13,7 +13,7 @@
     }
 
     /** Sets the time to 0; what happened before has negative times. */
-    void begin() {
+    void markLoadStart() {
         loadStartUs = scheduler.nowUs();
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
@@ -20,7 +20,7 @@
 
 /** The sockets of a web server; its responses come from its {@link WebServer}. Lives on the run's event loop. */
 final class StubWebServer {
-    private static final int MAX_BODY = 65_536;
+    private static final int MAX_BODY_BYTES = 65_536;
 
     private final EventLoop loop;
     private final WebServer model;
@@ -50,7 +50,7 @@
     /** Listens at this host, at a port of its own; not to be called on the loop. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
-        address = Channels.local(listener);
+        address = Channels.localAddress(listener);
     }
 
     InetSocketAddress address() {
@@ -65,24 +65,24 @@
     void stop() {
         listener.close();
         model.stop();
-        Set.copyOf(channels).forEach(Channels::reset);
+        Set.copyOf(channels).forEach(Channels::closeWithReset);
     }
 
     /** Acts as if its process had started again, with a slow start; a violation if it cannot listen. */
     void restart() {
         model.start();
-        Channels.bind(loop, address, true, this::accept).addListener(done -> {
-            if (done.isSuccess()) {
-                listener = ((ChannelFuture) done).channel();
+        Channels.bind(loop, address, true, this::accept).addListener(bindResult -> {
+            if (bindResult.isSuccess()) {
+                listener = ((ChannelFuture) bindResult).channel();
             } else {
-                checker.processDied(clock.nowUs(), model.name(), "can't listen again: " + done.cause());
+                checker.processDied(clock.nowUs(), model.name(), "can't listen again: " + bindResult.cause());
             }
         });
     }
 
     private void accept(SocketChannel channel) {
         if (!model.acceptConnection()) {
-            Channels.reset(channel);
+            Channels.closeWithReset(channel);
             return;
         }
         channels.add(channel);
@@ -90,7 +90,7 @@
                 .addLast(
                         new IdleStateHandler(0, 0, model.idleUs(), TimeUnit.MICROSECONDS),
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_BODY),
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
                         new StubWebServerConnection(this));
     }
 
@@ -105,8 +105,8 @@
     }
 
     /** Returns the class of the requests to a path; empty if the scenario has none of this name. */
-    Optional<RequestClass> requestClassAt(String path) {
-        return Optional.ofNullable(classesByName.get(path));
+    Optional<RequestClass> findRequestClass(String className) {
+        return Optional.ofNullable(classesByName.get(className));
     }
 
     /** Notifies the checker of a complete request; returns the number of the attempt. */
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
@@ -38,7 +38,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         Optional<String> id = Optional.ofNullable(request.headers().get(REQUEST_ID_HEADER));
-        Optional<RequestClass> requestClass = server.requestClassAt(pathOf(request));
+        Optional<RequestClass> requestClass = server.findRequestClass(requestClassName(request));
         if (id.isEmpty() || requestClass.isEmpty() || request.decoderResult().isFailure()) {
             write(ctx, newResponse(HttpResponseStatus.NOT_FOUND, ""));
             return;
@@ -47,7 +47,7 @@
     }
 
     /** Returns the first part of the path, which names the class of the request. */
-    private static String pathOf(FullHttpRequest request) {
+    private static String requestClassName(FullHttpRequest request) {
         return request.uri().substring(1).split("[/?]", 2)[0];
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -20,9 +20,9 @@
  * compared to a direct connection, and how many requests per second the clients of one thread send.
  */
 public final class TestbedBenchmark {
-    private static final int THREADS = 3;
+    private static final int THREAD_COUNT = 3;
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREAD_COUNT, NioIoHandler.newFactory());
     private final EventLoop clientLoop = loops.next();
     private final EventLoop relayLoop = loops.next();
     private final EventLoop serverLoop = loops.next();
@@ -38,7 +38,7 @@
     public static String measure(int runs) throws IOException, InterruptedException {
         TestbedBenchmark benchmark = new TestbedBenchmark();
         try {
-            return benchmark.run(runs);
+            return benchmark.measureAll(runs);
         } catch (ExecutionException | TimeoutException e) {
             throw new BenchmarkException("a measurement failed: " + e, e);
         } finally {
@@ -46,7 +46,7 @@
         }
     }
 
-    private String run(int runs) throws IOException, InterruptedException, ExecutionException, TimeoutException {
+    private String measureAll(int runs) throws IOException, InterruptedException, ExecutionException, TimeoutException {
         LinkBenchmark link = new LinkBenchmark(clientLoop, serverLoop);
         RequestRateBenchmark requests = new RequestRateBenchmark(clientLoop, serverLoop);
         InetSocketAddress direct = link.receiverAddress();
@@ -57,18 +57,18 @@
         double[] relayedRoundTripUs = new double[runs];
         double[] requestsPerS = new double[runs];
         for (int i = 0; i < runs; i++) {
-            directBytesPerS[i] = link.bytesPerS(direct);
-            relayedBytesPerS[i] = link.bytesPerS(relay.address());
-            directRoundTripUs[i] = link.roundTripUs(direct);
-            relayedRoundTripUs[i] = link.roundTripUs(relay.address());
-            requestsPerS[i] = requests.requestsPerS();
+            directBytesPerS[i] = link.measureBytesPerS(direct);
+            relayedBytesPerS[i] = link.measureBytesPerS(relay.address());
+            directRoundTripUs[i] = link.measureMedianRoundTripUs(direct);
+            relayedRoundTripUs[i] = link.measureMedianRoundTripUs(relay.address());
+            requestsPerS[i] = requests.measureRequestsPerS();
         }
         relayLoop.submit(relay::close).get();
-        return line("bytes a second, no link", directBytesPerS)
-                + line("bytes a second, link", relayedBytesPerS)
-                + line("round trip us, no link", directRoundTripUs)
-                + line("round trip us, link", relayedRoundTripUs)
-                + line("requests a second of one thread", requestsPerS);
+        return formatFigure("bytes a second, no link", directBytesPerS)
+                + formatFigure("bytes a second, link", relayedBytesPerS)
+                + formatFigure("round trip us, no link", directRoundTripUs)
+                + formatFigure("round trip us, link", relayedRoundTripUs)
+                + formatFigure("requests a second of one thread", requestsPerS);
     }
 
     private Relay startRelay(InetSocketAddress target) throws IOException {
@@ -78,7 +78,7 @@
         return relay;
     }
 
-    private static String line(String figure, double[] values) {
+    private static String formatFigure(String figure, double[] values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         return String.format(
--- a/testbed/src/main/java/tansypass/testbed/process/UnresponsiveListener.java
+++ b/testbed/src/main/java/tansypass/testbed/process/UnresponsiveListener.java
@@ -16,10 +16,10 @@
  */
 final class UnresponsiveListener {
     /** With a backlog of 1 the system accepts two connections and leaves the third without a response. */
-    private static final int FILLERS = 2;
+    private static final int FILLER_CONNECTIONS = 2;
 
     private final ServerSocketChannel listener;
-    private final List<SocketChannel> fillers = new ArrayList<>();
+    private final List<SocketChannel> fillerConnections = new ArrayList<>();
 
     /**
      * Listens and fills the backlog.
@@ -35,18 +35,18 @@
             listener.close();
             throw e;
         }
-        for (int i = 0; i < FILLERS; i++) {
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address);
-            fillers.add(filler);
+            fillerConnections.add(filler);
         }
     }
 
     /** Closes its sockets; throws UncheckedIOException if one cannot be closed. */
     void close() {
         try {
-            for (SocketChannel filler : fillers) {
+            for (SocketChannel filler : fillerConnections) {
                 filler.close();
             }
             listener.close();
--- a/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
@@ -17,14 +17,14 @@
         Process other = new ProcessBuilder("sleep", "1000").start();
         try {
             try (ChildProcessReaper reaper = new ChildProcessReaper()) {
-                reaper.began(stopped.pid());
-                reaper.began(other.pid());
+                reaper.register(stopped.pid());
+                reaper.register(other.pid());
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-STOP", Long.toString(stopped.pid()))
                                 .start()
                                 .waitFor());
-                reaper.ended(other.pid());
+                reaper.deregister(other.pid());
             }
             assertEquals(KILLED, stopped.waitFor());
             assertTrue(other.isAlive());
