--- a/testbed/src/main/java/tansypass/testbed/process/Channels.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Channels.java
@@ -14,14 +14,16 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Opens and closes the sockets of the testbed. All are on loopback addresses. */
+/** Opens and closes the sockets of the testbed, all of which have loopback addresses. */
 final class Channels {
     private static final int LISTEN_BACKLOG = 1_024;
 
     private Channels() {}
 
     /**
-     * Listens. Not to be called on the loop.
+     * Listens at an address and waits until it is bound; must not be called on the event loop.
+     *
+     * @param initializer is called with each accepted connection
      *
      * @throws AddressUnavailableException if the address can't be bound
      */
@@ -37,7 +39,11 @@
         return bound.channel();
     }
 
-    /** Listens, from the loop; {@code reads} is whether accepted connections are read at once. */
+    /**
+     * Starts to listen at an address, without waiting; may be called on the event loop.
+     *
+     * @param autoRead whether accepted connections are read from the start
+     */
     static ChannelFuture bind(
             EventLoop loop, InetSocketAddress address, boolean autoRead, Consumer<SocketChannel> initializer) {
         return new ServerBootstrap()
@@ -51,7 +57,11 @@
                 .bind(address);
     }
 
-    /** Connects; {@code reads} is whether the connection is read at once. */
+    /**
+     * Starts to connect to an address, without waiting.
+     *
+     * @param autoRead whether the connection is read from the start
+     */
     static ChannelFuture connect(
             EventLoop loop,
             InetSocketAddress address,
@@ -78,30 +88,30 @@
         };
     }
 
-    /** Closes a connection with a reset. */
+    /** Closes a connection with a TCP reset. */
     static void closeWithReset(Channel channel) {
         resetOnClose(channel);
         channel.close();
     }
 
-    /** Makes the next close of the connection a reset. */
+    /** Configures a connection to send a TCP reset when it is closed. */
     static void resetOnClose(Channel channel) {
         try {
             if (channel.isOpen()) {
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
             }
         } catch (ChannelException e) {
-            // The peer has just closed it, so that no reset can be sent.
+            // The peer has just closed the connection, so a reset can no longer be sent.
             channel.close();
         }
     }
 
-    /** Returns the address as configuration files have it: host and port. */
+    /** Returns an address in the form of configuration files, {@code host:port}. */
     static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Returns the address that a channel is bound to. */
+    /** Returns the local address that a channel is bound to. */
     static InetSocketAddress localAddress(Channel channel) {
         return (InetSocketAddress) channel.localAddress();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/ChildProcessReaper.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ChildProcessReaper.java
@@ -6,21 +6,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Kills the child processes that are left when the testbed ends, however it ends: a shell that ignores the
- * testbed's signals knows their ids and kills them when the testbed's end of its pipe closes. A stopped child
- * cannot notice that itself.
+ * Kills the child processes that are still running when the testbed ends, even if the testbed is killed. A helper
+ * shell, which ignores the signals that end the testbed, receives the ids of the children over a pipe and kills the
+ * remaining ones when the pipe closes. The children can't do this themselves: one that is stopped by SIGSTOP does
+ * not notice that its parent has exited.
  */
 final class ChildProcessReaper implements AutoCloseable {
     private static final String SCRIPT = """
             trap '' INT TERM HUP
-            left=" "
-            while read -r what id; do
-                case $what in
-                +) left="$left$id " ;;
-                -) left=$(printf '%s' "$left" | sed "s/ $id / /") ;;
+            running=" "
+            while read -r operation pid; do
+                case $operation in
+                +) running="$running$pid " ;;
+                -) running=$(printf '%s' "$running" | sed "s/ $pid / /") ;;
                 esac
             done
-            for id in $left; do kill -KILL "$id" 2>/dev/null; done
+            for pid in $running; do kill -KILL "$pid" 2>/dev/null; done
             exit 0
             """;
     private static final long EXIT_TIMEOUT_S = 5;
@@ -36,12 +37,12 @@
         shellInput = shell.getOutputStream();
     }
 
-    /** A child has been started. */
+    /** Registers a child that was started. */
     synchronized void register(long pid) {
         writeLine("+ " + pid);
     }
 
-    /** A child has ended, and its id may become another's. */
+    /** Deregisters a child that has exited: the system may give its id to another process. */
     synchronized void deregister(long pid) {
         writeLine("- " + pid);
     }
@@ -51,7 +52,7 @@
             shellInput.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             shellInput.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("the reaper has exited", e);
+            throw new IllegalStateException("the shell that kills remaining child processes has exited", e);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
+++ b/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
@@ -44,8 +44,8 @@
 import tansypass.testbed.scenario.Scenario;
 
 /**
- * The discovery agent of one node: the platform's protocol on the endpoint list that all nodes share. Lives on
- * the run's event loop.
+ * The discovery agent of one node: serves the endpoint list, which all nodes share, in the platform's discovery
+ * protocol. Used only on the run's event loop, except for {@link #start}.
  */
 final class DiscoveryAgent {
     private static final int MAX_BODY_BYTES = 1_024;
@@ -62,7 +62,11 @@
     private final Set<Watch> watches = new LinkedHashSet<>();
     private Channel listener;
 
-    /** Creates an agent that does not listen yet; {@code addresses} gives where its node reaches a server. */
+    /**
+     * Creates an agent that does not listen yet.
+     *
+     * @param serverAddresses returns the address at which the node reaches the server with a given number
+     */
     DiscoveryAgent(
             EventLoop loop,
             Scenario scenario,
@@ -80,7 +84,7 @@
         this.clock = clock;
     }
 
-    /** Listens at this host, at a port of its own; not to be called on the loop. */
+    /** Listens at a free port of this host; must not be called on the event loop, because it waits. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
     }
@@ -148,7 +152,7 @@
         }
     }
 
-    /** An open watch: writes what has changed since its last event, whenever the registry publishes. */
+    /** An open watch: writes the changes since its last event each time the registry publishes a change. */
     private final class Watch implements Consumer<WatchEvent> {
         private final Channel channel;
         private long revision;
@@ -175,7 +179,10 @@
             }
         }
 
-        /** Writes what this watch has not had yet, which may be more than was just published. */
+        /**
+         * Writes all changes since the last event of this watch. These may be more than the registry has just
+         * published, because this watch may have begun at an older revision.
+         */
         @Override
         public void accept(WatchEvent published) {
             writeChanges();
--- a/testbed/src/main/java/tansypass/testbed/process/HttpGetClient.java
+++ b/testbed/src/main/java/tansypass/testbed/process/HttpGetClient.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Sends one GET request on a connection of its own. */
+/** Sends single GET requests, each on a new connection. */
 final class HttpGetClient {
     private static final int TIMEOUT_MS = 1_000;
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -27,7 +27,10 @@
     /** A complete response. */
     record Response(int status, String body) {}
 
-    /** Sends the request; the callback gets the response, or empty if there is none in time, once, on the loop. */
+    /**
+     * Sends a request. The callback is called once, on the event loop: with the response, or with an empty value if
+     * no complete response arrives in time.
+     */
     static void get(EventLoop loop, InetSocketAddress address, String path, Consumer<Optional<Response>> callback) {
         Channels.connect(
                         loop,
--- a/testbed/src/main/java/tansypass/testbed/process/InsufficientResourcesException.java
+++ b/testbed/src/main/java/tansypass/testbed/process/InsufficientResourcesException.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.process;
 
-/** Thrown before a run if this machine lacks memory or descriptors for it; the message has both amounts. */
+/** Thrown before a run if this machine has too little memory or too few descriptors; the message has the amounts. */
 public final class InsufficientResourcesException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/tansypass/testbed/process/LinkBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LinkBenchmark.java
@@ -15,8 +15,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures throughput and round trip time of a path to a receiver, which acknowledges marked bytes and discards
- * all others. Its methods block, and are not to be called on an event loop.
+ * Measures the throughput and the round-trip time of a path to a receiver. The receiver acknowledges messages that
+ * end with a marker and discards all others. The methods block, so they must not be called on an event loop.
  */
 final class LinkBenchmark {
     private static final long TRANSFER_BYTES = 256L << 20;
@@ -28,13 +28,13 @@
     private static final int TIMEOUT_S = 30;
     private static final double NS_PER_S = 1e9;
     private static final double NS_PER_US = 1e3;
-    /** The last byte of a message that the receiver acknowledges, and the acknowledgement. */
+    /** The last byte of a message that the receiver acknowledges; also the acknowledgement itself. */
     private static final byte MARKER = 1;
 
     private final EventLoop senderLoop;
     private final Channel receiver;
 
-    /** Opens a receiver on one loop, for senders on the other one. */
+    /** Opens a receiver on one event loop; the senders run on the other one. */
     LinkBenchmark(EventLoop senderLoop, EventLoop receiverLoop) throws IOException {
         this.senderLoop = senderLoop;
         receiver = Channels.listen(
@@ -43,12 +43,12 @@
                 channel -> channel.pipeline().addLast(new Acknowledger()));
     }
 
-    /** Returns where the receiver listens. */
+    /** Returns the address at which the receiver listens. */
     InetSocketAddress receiverAddress() {
         return Channels.localAddress(receiver);
     }
 
-    /** Returns the throughput to the receiver behind this address, in bytes per second. */
+    /** Measures the throughput to the receiver through this address, in bytes per second. */
     double measureBytesPerS(InetSocketAddress address)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Long> acknowledgedNs = new CompletableFuture<>();
@@ -59,7 +59,7 @@
         return TRANSFER_BYTES / elapsedS;
     }
 
-    /** Returns the median of the round trip time to the receiver behind this address, in microseconds. */
+    /** Measures the median round-trip time to the receiver through this address, in microseconds. */
     double measureMedianRoundTripUs(InetSocketAddress address)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Double> medianUs = new CompletableFuture<>();
@@ -81,7 +81,7 @@
                 .channel();
     }
 
-    /** Answers a message whose last byte is {@link #MARKER} with it, and discards all others. */
+    /** Answers messages that end with {@link #MARKER} by a marker, and discards all others. */
     private static final class Acknowledger extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Sends as fast as the connection takes it; the last byte is a marker. */
+    /** Sends a fixed number of bytes as fast as the connection accepts them; the last byte is a marker. */
     private static final class BulkSender extends ChannelInboundHandlerAdapter {
         private final CompletableFuture<Long> acknowledgedNs;
         private long remainingBytes = TRANSFER_BYTES;
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Sends one marker after the other, each when the last one was acknowledged. */
+    /** Sends single markers, each after the previous one was acknowledged, and times the round trips. */
     private static final class RoundTripTimer extends ChannelInboundHandlerAdapter {
         private final CompletableFuture<Double> medianUs;
         private final Histogram roundTripsNs = new Histogram(MAX_ROUND_TRIP_NS, HISTOGRAM_DIGITS);
--- a/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
@@ -6,7 +6,10 @@
 import tansypass.testbed.model.PoissonArrivals;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** Sends the load of a run, an open loop, to the nodes that are ready. Lives on the run's event loop. */
+/**
+ * Sends the load of a run to the nodes that are ready. The load is an open loop: requests are sent at their times,
+ * whether or not earlier ones have ended. Used only on the run's event loop.
+ */
 final class LoadDriver {
     private final ProcessRunContext context;
     private final PoissonArrivals arrivals;
@@ -20,14 +23,15 @@
                 RandomStreams.of(context.seed, "load"));
     }
 
-    /** Starts the load, which lasts for the scenario's length. */
+    /** Starts the load, which stops after the length of the scenario. */
     void start() {
         sendDueRequests(arrivals.nextUs());
     }
 
     private void sendDueRequests(long firstUs) {
         long dueUs = firstUs;
-        // Those that are due already go out in one turn: a timer each would make a busy testbed later still.
+        // All requests that are already due are sent at once: with a timer for each, a testbed that is behind
+        // schedule would fall further behind.
         while (dueUs <= context.clock.nowUs() && dueUs < context.scenario.lengthUs()) {
             send(arrivals.nextClass(), HexFormat.of().toHexDigits(arrivals.nextId()), dueUs);
             dueUs = arrivals.nextUs();
--- a/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
@@ -28,9 +28,9 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
 /**
- * The clients of one node. They send one request at a time on a connection, keep connections alive, and open a
- * further one when every one is busy. A request that crosses the closing of an idle connection is retried once
- * on a new one. Lives on the run's event loop.
+ * The clients of one node. They send one request at a time on a connection, keep connections alive, and open another
+ * connection when all are busy. If the node closes an idle connection while a request is being sent on it, the request
+ * is retried once on a new connection. Used only on the run's event loop.
  */
 final class LoadGenerator {
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -59,12 +59,12 @@
         this.address = address;
     }
 
-    /** Returns how many requests wait for their response. */
+    /** Returns the number of requests that are waiting for a response. */
     int openRequestCount() {
         return openRequests.size();
     }
 
-    /** Sends a request that was due at {@code intendedUs}; the checker is notified of its end. */
+    /** Sends a request that was due at {@code intendedUs}, and notifies the checker when it ends. */
     void send(String id, RequestClass requestClass, long intendedUs) {
         long nowUs = clock.nowUs();
         OpenRequest request = new OpenRequest(id, requestClass, nowUs + requestClass.deadlineUs());
@@ -208,7 +208,7 @@
             }
             interruptedRequest.connection = null;
             if (hasResponded) {
-                // It crossed the closing of an idle connection.
+                // The node closed the idle connection while the request was being sent.
                 connect(interruptedRequest);
             } else {
                 interruptedRequest.end();
--- a/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
@@ -6,15 +6,19 @@
 import java.net.ServerSocket;
 
 /**
- * The loopback addresses of one run: a network 127.N of its own, so that concurrent runs do not share
- * addresses, and in it an address for each process.
+ * Allocates the loopback addresses of one run: a network 127.N that no concurrent run uses, and in it an address for
+ * each process.
  */
 final class LoopbackAllocator implements AutoCloseable {
     private static final int FIRST_NETWORK = 64;
     private static final int NETWORK_COUNT = 128;
+    /** Number of hosts that share the third part of their address (a row). */
     private static final int HOSTS_PER_ROW = 250;
+
     private static final int FIRST_SERVER_ROW = 100;
+    /** A run owns a network while it is bound to this port of the network's first address. */
     private static final int CLAIM_PORT = 9;
+
     private static final int CLIENT_PORT = 8_443;
     private static final int ADMIN_PORT = 9_443;
     private static final int MEMBER_PORT = 7_946;
@@ -29,7 +33,7 @@
     }
 
     /**
-     * Claims a network that no other run has.
+     * Claims a network that no other run has claimed.
      *
      * @throws AddressUnavailableException if none is free
      */
@@ -42,11 +46,12 @@
                 socket.bind(new InetSocketAddress(InetAddress.getByName("127." + network + ".0.1"), CLAIM_PORT));
                 return new LoopbackAllocator(network, socket);
             } catch (IOException e) {
-                // Another run has it; the next one is tried.
+                // Another run has claimed this network; try the next one.
                 socket.close();
             }
         }
-        throw new AddressUnavailableException("no loopback network is free: " + NETWORK_COUNT + " runs at once?");
+        throw new AddressUnavailableException("no loopback network is free: all " + NETWORK_COUNT
+                + " networks from 127." + FIRST_NETWORK + " on are in use");
     }
 
     private String host(int row, int number) {
@@ -63,22 +68,22 @@
         return host(FIRST_SERVER_ROW, number);
     }
 
-    /** Returns where a node listens for clients. */
+    /** Returns the address at which a node listens for clients. */
     InetSocketAddress clientAddress(int number) {
         return new InetSocketAddress(nodeHost(number), CLIENT_PORT);
     }
 
-    /** Returns where a node listens for operators. */
+    /** Returns the address at which a node listens for operators. */
     InetSocketAddress adminAddress(int number) {
         return new InetSocketAddress(nodeHost(number), ADMIN_PORT);
     }
 
-    /** Returns where a node listens for other members. */
+    /** Returns the address at which a node listens for other members. */
     InetSocketAddress memberAddress(int number) {
         return new InetSocketAddress(nodeHost(number), MEMBER_PORT);
     }
 
-    /** Returns where other members send to a node if the testbed has links between them. */
+    /** Returns the proxy address at which other members reach a node if {@link MembershipLinks} are in use. */
     InetSocketAddress memberProxyAddress(int number) {
         return new InetSocketAddress(host(FIRST_PROXY_ROW, number), MEMBER_PORT);
     }
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -22,10 +22,10 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * The links between nodes as members of a cluster. Each node has a proxy address here, which it advertises;
- * what arrives there from another node's host is forwarded to the owner and seems to come from the sender's
- * proxy address. So datagrams and connections of each pair pass through the testbed without the nodes knowing.
- * Lives on one event loop.
+ * The links between nodes as members of a cluster. Each node advertises a proxy address, which the testbed owns.
+ * Datagrams and connections that arrive there from another node's host are forwarded to the node itself; datagrams
+ * appear to come from the sender's proxy address. All traffic between two nodes thus passes through the testbed
+ * without the nodes being aware of it. Used only on one event loop, except for {@link #openProxy}.
  */
 final class MembershipLinks {
     private final EventLoop loop;
@@ -44,7 +44,11 @@
         linkMatrix = new LinkMatrix(seed, (from, to) -> 0);
     }
 
-    /** Opens the proxy address of the next node, which itself listens at {@code owner}, not on the loop. */
+    /**
+     * Opens the proxy address of the next node; must not be called on the event loop, because it waits.
+     *
+     * @param nodeAddress the address at which the node itself listens
+     */
     void openProxy(InetSocketAddress proxyAddress, InetSocketAddress nodeAddress) throws AddressUnavailableException {
         int number = nodeAddresses.size();
         nodeAddresses.add(nodeAddress);
@@ -57,7 +61,7 @@
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new AddressUnavailableException(
-                    "can't take datagrams at " + proxyAddress + ": "
+                    "can't receive datagrams at " + proxyAddress + ": "
                             + bound.cause().getMessage(),
                     bound.cause());
         }
@@ -65,7 +69,7 @@
         Channels.listen(loop, proxyAddress, channel -> accept(number, channel));
     }
 
-    /** Begins or ends a fault; to be called on the loop. */
+    /** Begins or ends a fault on the link between two nodes; must be called on the event loop. */
     void applyFault(int first, int second, Fault fault, boolean begins) {
         linkMatrix.apply(first, second, fault, begins);
         if (!fault.kind().affectsOnlyDatagrams()) {
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Forwards the datagrams that arrive at a proxy address. */
+    /** Forwards the datagrams that arrive at the proxy address of one node. */
     private final class DatagramForwarder extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int to;
 
@@ -124,7 +128,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Nobody listens there now; there is no connection that this could end.
+            // The receiving node does not listen now. There is no connection to close; continue with the next datagram.
             ctx.read();
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
@@ -18,7 +18,7 @@
  */
 record MembershipSnapshot(String ownIncarnation, Map<Line, Long> unchangedUsByLine) {
 
-    /** Returns the numbers of the members that are present in it. */
+    /** Returns the numbers of the members that are present in this view. */
     Set<Integer> presentMembers() {
         return unchangedUsByLine.keySet().stream()
                 .filter(Line::isPresent)
@@ -26,7 +26,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Parses the page of the node with this number. */
+    /** Parses the view page of the node with this number. */
     static MembershipSnapshot parse(int nodeNumber, String body) {
         Map<Line, Long> unchangedUsByLine = new LinkedHashMap<>();
         String ownIncarnation = "";
--- a/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The process of a node: starts, signals and kills it. Lives on the run's event loop. */
+/** Starts, signals and kills the process of a node. Used only on the run's event loop. */
 final class NodeProcess {
     private static final long SIGNAL_TIMEOUT_S = 5;
     private static final int LOG_TAIL_LINES = 5;
@@ -30,8 +30,8 @@
     /**
      * Creates a process that is not started yet.
      *
-     * @param command to which the node's file is added
-     * @param onUnexpectedExit gets the reason of an exit that no fault caused, on the loop
+     * @param command the command that starts a node when the path of its configuration file is appended
+     * @param onUnexpectedExit is called on the event loop with the reason if the process exits and no fault caused it
      */
     NodeProcess(
             String name,
@@ -50,7 +50,7 @@
         this.onUnexpectedExit = onUnexpectedExit;
     }
 
-    /** Starts it; throws UncheckedIOException if the command cannot be started. */
+    /** Starts the process; throws UncheckedIOException if the command can't be executed. */
     void start() {
         List<String> arguments = new ArrayList<>(command);
         arguments.add(configFile.toString());
@@ -64,7 +64,7 @@
         try {
             started = builder.start();
         } catch (IOException e) {
-            throw new UncheckedIOException(name + " can't be started", e);
+            throw new UncheckedIOException("process of " + name + " can't be started: " + arguments, e);
         }
         process = started;
         reaper.register(started.pid());
@@ -83,7 +83,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Returns whether it is alive and stopped by SIGSTOP. */
+    /** Returns whether the process is alive and stopped by SIGSTOP. */
     boolean isStopped() {
         return isAlive() && isStopped;
     }
@@ -98,15 +98,14 @@
         process.destroyForcibly();
     }
 
-    /** Sends SIGTERM; throws UncheckedIOException if no signal can be sent. */
+    /** Sends SIGTERM; throws UncheckedIOException if the signal can't be sent. */
     void terminate() {
         isExitExpected = true;
-        // Not destroy(), which closes the child's standard input too: the child takes that for its
-        // parent's exit.
+        // Not destroy(): it also closes the child's standard input, which the child takes for the exit of its parent.
         sendSignal("-TERM");
     }
 
-    /** Sends SIGSTOP or SIGCONT; throws UncheckedIOException if no signal can be sent. */
+    /** Sends SIGSTOP or SIGCONT if that changes the state; throws UncheckedIOException if the signal can't be sent. */
     void setStopped(boolean stopped) {
         if (isAlive() && isStopped != stopped) {
             isStopped = stopped;
@@ -121,13 +120,14 @@
                 kill.destroyForcibly();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("no signal can be sent", e);
+            throw new UncheckedIOException(
+                    "signal " + option + " can't be sent to process " + process.pid() + " of " + name, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Returns the last lines of its log, on one line. */
+    /** Returns the last lines of the process's log, joined into one line. */
     String logTail() {
         try {
             List<String> lines =
--- a/testbed/src/main/java/tansypass/testbed/process/NodeStartException.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeStartException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown if a node of a run does not become ready; the message names it, with the last lines of its log. */
+/** Thrown if a node of a run does not become ready; the message names the node and ends with its last log lines. */
 public final class NodeStartException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
@@ -8,23 +8,23 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 import tansypass.testbed.scenario.TomlFragments;
 
-/** Writes a node's configuration file from a scenario. */
+/** Formats the configuration file of a node from a scenario. */
 final class NodeToml {
     private NodeToml() {}
 
     /**
      * The addresses of a node.
      *
-     * @param listen where it listens for clients
-     * @param admin where it listens for operators
-     * @param discovery its discovery agent
+     * @param listen the address at which the node listens for clients
+     * @param admin the address at which the node listens for operators
+     * @param discovery the address of the node's discovery agent
      */
     record Addresses(InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery) {}
 
     /**
-     * Returns the configuration file of a node.
+     * Returns the text of a node's configuration file.
      *
-     * @param seed of the node's random numbers, hexadecimal
+     * @param seed the seed of the node's random numbers, hexadecimal
      * @param membershipSection the section that {@link #membershipSection} returns, or an empty string
      */
     static String of(Scenario scenario, int node, String seed, Addresses addresses, String membershipSection) {
@@ -75,7 +75,12 @@
                         servers.slowStartUs());
     }
 
-    /** Returns the membership part; {@code advertise} is where other members reach the node. */
+    /**
+     * Returns the section of the membership protocol.
+     *
+     * @param advertise the address at which other members reach the node
+     * @param seeds the addresses of the members through which the node joins the cluster
+     */
     static String membershipSection(
             Scenario.Cluster cluster,
             InetSocketAddress listen,
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
@@ -6,7 +6,7 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 import tansypass.testbed.scenario.Scenario.Kind;
 
-/** Injects faults into the parts of a run on real processes, on its event loop. */
+/** Injects faults into the nodes, servers and links of a run on real processes. Used only on the run's event loop. */
 final class ProcessFaultInjector extends FaultInjector {
     private final ProcessRunContext context;
 
@@ -15,12 +15,12 @@
         this.context = context;
     }
 
-    /** The run ends with the error if a signal cannot be sent or a process cannot be started. */
+    /** Begins or ends a fault of a node; aborts the run if a signal can't be sent or a process can't be started. */
     @Override
     public void nodeFault(int number, Fault fault, boolean begins) {
         ProcessNodeHandle node = context.nodes.get(number);
         if (begins && fault.kind() != Kind.PAUSE && !node.isAlive()) {
-            // There is no process to end.
+            // The node has no process that a fault could end.
             node.faultChanged(true);
             return;
         }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -9,13 +9,15 @@
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.NodeHandle;
 
-/** A node of a run on real processes: its addresses, its clients, and the process that it has now. */
+/** A node of a run on real processes: its addresses, its clients and its current process. */
 final class ProcessNodeHandle extends NodeHandle {
-    /** A node's readiness is polled this often, and less often where many are. */
+    /** The least interval at which a node's readiness is polled; it grows with the number of nodes. */
     private static final long READY_POLL_INTERVAL_US = 100_000;
 
     private static final long READY_POLL_INTERVAL_PER_NODE_US = 10_000;
+    /** The least interval at which a node's membership view is polled; it grows with the number of nodes. */
     private static final long VIEW_POLL_INTERVAL_US = 200_000;
+
     private static final long VIEW_POLL_INTERVAL_PER_NODE_US = 20_000;
     private static final long EXIT_CHECK_INTERVAL_US = 20_000;
     private static final int STATUS_OK = 200;
@@ -27,11 +29,11 @@
     private final InetSocketAddress memberAddress;
     private NodeProcess process;
     private LoadGenerator clients;
-    /** As last polled; empty before the first poll of a process. */
+    /** The membership view as last polled; empty until the first poll of a process. */
     private Optional<MembershipSnapshot> lastView = Optional.empty();
 
     private boolean isReady;
-    /** A fault has ended its process, and it was not started again yet. */
+    /** Whether a fault has ended the process and the process has not been started again. */
     private boolean isEndedByFault;
 
     ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator loopback) {
@@ -43,12 +45,12 @@
         memberAddress = loopback.memberAddress(number);
     }
 
-    /** Gives it its process, which is not started yet. */
+    /** Sets the node's process, which is not started yet. */
     void setProcess(NodeProcess process) {
         this.process = process;
     }
 
-    /** Gives it its clients. */
+    /** Sets the clients that send requests to the node. */
     void setClients(LoadGenerator clients) {
         this.clients = clients;
     }
@@ -61,7 +63,7 @@
         return clients;
     }
 
-    /** Returns where the node itself listens for clients. */
+    /** Returns the address at which the node listens for clients, who may reach it through a {@link Relay}. */
     InetSocketAddress clientAddress() {
         return clientAddress;
     }
@@ -70,7 +72,7 @@
         return adminAddress;
     }
 
-    /** Returns whether the last readiness check succeeded. */
+    /** Returns whether the node was ready when it was last polled. */
     boolean isReady() {
         return isReady;
     }
@@ -80,7 +82,7 @@
         return isReady;
     }
 
-    /** Returns them by the last view that was polled. */
+    /** Returns the members that are present in the view that was polled last. */
     @Override
     protected Set<Integer> presentMembers() {
         return lastView.map(MembershipSnapshot::presentMembers).orElse(Set.of());
@@ -96,7 +98,7 @@
         return process.isStopped();
     }
 
-    /** Polls the node's readiness from now on, as the client load balancer does. */
+    /** Starts to poll the node's readiness regularly, as a client load balancer does. */
     void pollReadiness() {
         int polledGeneration = generation();
         HttpGetClient.get(context.loop, clientAddress, "/ready", response -> {
@@ -121,7 +123,7 @@
         }
     }
 
-    /** Polls the node's membership view from now on. */
+    /** Starts to poll the node's membership view regularly. */
     void pollView() {
         int polledGeneration = generation();
         HttpGetClient.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
@@ -143,7 +145,7 @@
         if (!isEndedByFault) {
             members.setLiveIncarnation(number(), view.ownIncarnation());
         }
-        // Each line has the time since its last change: a poll now and then still gives the time of a change.
+        // Each line has the time since its last change, so the time of a change is exact although polls are rare.
         view.unchangedUsByLine()
                 .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), view.ownIncarnation(), line));
     }
@@ -157,7 +159,7 @@
         endExcuseWhenProcessExits(checker.excuseNode(nowUs(), number()));
     }
 
-    /** SIGKILL takes a moment, in which clients may still connect. */
+    /** Ends the excuse when the process has exited: until SIGKILL takes effect, clients may still connect. */
     private void endExcuseWhenProcessExits(Excuse excuse) {
         if (process.isAlive()) {
             scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExcuseWhenProcessExits(excuse));
@@ -166,7 +168,7 @@
         }
     }
 
-    /** Its process ended although no fault ended it. */
+    /** Handles an exit of the process that no fault caused. */
     void handleUnexpectedExit(String reason) {
         checker.processDied(nowUs(), name(), reason);
         handleProcessEnd();
@@ -187,7 +189,7 @@
         enforceTermination();
     }
 
-    /** Starts a process as soon as the old one has exited. */
+    /** Starts a new process as soon as the old one has exited. */
     @Override
     public void restart() {
         if (!isEndedByFault || context.isFinished()) {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -23,13 +23,13 @@
 import tansypass.testbed.scenario.Scenario;
 
 /**
- * Runs a scenario with real processes of the program: nodes are child processes; web servers, links and
- * clients are in this process on one event loop, which is also the checker's only thread.
+ * Runs a scenario with real processes of the program. The nodes are child processes. Web servers, links and clients
+ * are in this process, on one event loop, which is also the only thread that calls the checker.
  */
 public final class ProcessRun {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessRun.class);
 
-    /** Clients come when all nodes are ready, or after 30 s (DEPLOY); many at once need a second each. */
+    /** The load starts once all nodes are ready; DEPLOY allows 30 s. Many nodes are allowed one second each. */
     private static final long READY_TIMEOUT_S = 30;
 
     private static final long READY_CHECK_INTERVAL_US = 20_000;
@@ -51,16 +51,16 @@
     }
 
     /**
-     * Runs the scenario and returns the checker, which has seen all events.
+     * Runs the scenario and returns the checker, which has received all events of the run.
      *
      * @param nodeCommand the command that starts a node when the path of its configuration file is appended
-     * @param folder for files and logs
+     * @param folder the folder for the nodes' configuration files and logs
      * @param progress is notified each second, on the event loop
-     * @throws InsufficientResourcesException if the machine has too few resources; nothing was started then
+     * @throws InsufficientResourcesException if the machine has too few resources, before anything is started
      * @throws AddressUnavailableException if an address is taken
      * @throws NodeStartException if a node does not become ready
      * @throws RunAbortedException if a fault can't be injected
-     * @throws IOException if a file can't be written or the testbed's own helper process can't be started
+     * @throws IOException if a file can't be written, or the shell of {@link ChildProcessReaper} can't be started
      */
     public static InvariantChecker run(
             Scenario scenario, long seed, List<String> nodeCommand, Path folder, Progress progress)
@@ -91,7 +91,7 @@
             });
             completeWhenReady(ready);
         });
-        // Many nodes that start at once need a second each.
+        // Many nodes that start at the same time need about a second each.
         long timeoutS = Math.max(READY_TIMEOUT_S, context.nodes.size());
         try {
             ready.get(timeoutS, TimeUnit.SECONDS);
@@ -184,7 +184,7 @@
         context.completion().complete(null);
     }
 
-    /** Ends the nodes by SIGTERM; one that does not exit is a violation. */
+    /** Terminates the nodes by SIGTERM; a node that does not exit in time is a violation. */
     private void shutDownNodes() throws InterruptedException {
         context.nodes.stream()
                 .map(ProcessNodeHandle::process)
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
@@ -16,8 +16,8 @@
 import tansypass.testbed.scenario.Scenario;
 
 /**
- * The parts of one run on real processes, which know one another through it. Built on the caller's thread;
- * all else happens on the one event loop.
+ * Holds the parts of one run on real processes, which reach each other through it. It is built on the caller's
+ * thread; afterwards all parts are used only on the run's event loop.
  */
 final class ProcessRunContext {
     final Scenario scenario;
@@ -30,13 +30,13 @@
     final ClientLoadBalancer clientLoadBalancer;
     final List<StubWebServer> servers = new ArrayList<>();
     final List<ProcessNodeHandle> nodes = new ArrayList<>();
-    /** By {@link #linkKey}, the links from nodes to servers that some fault is on. */
+    /** The links from nodes to servers that a fault affects, by {@link #linkKey}. */
     final Map<Integer, Relay> serverLinks = new HashMap<>();
-    /** By node, the links from the clients that some fault is on. */
+    /** The links from the clients to nodes that a fault affects, by number of the node. */
     final Map<Integer, Relay> clientLinks = new TreeMap<>();
 
     private final CompletableFuture<Void> completion = new CompletableFuture<>();
-    /** Empty where no fault is on a link between nodes, which then exchange messages directly. */
+    /** The links between nodes; empty if no fault affects them, so that nodes exchange messages directly. */
     private Optional<MembershipLinks> memberLinks = Optional.empty();
 
     ProcessRunContext(Scenario scenario, long seed, EventLoop loop) {
@@ -50,19 +50,19 @@
                 scheduler, scenario.nodes().count(), scenario.clients().failureDetectionUs());
     }
 
-    /** Returns the key of the link from a node to a server, as {@code FaultSchedule.faultyLinks} gives it. */
+    /** Returns the key of the link from a node to a server, the same as {@code FaultSchedule.faultyLinks} returns. */
     int linkKey(int node, int server) {
         return node * scenario.servers().count() + server;
     }
 
-    /** Returns where a node reaches a server. */
+    /** Returns the address at which a node reaches a server: that of a relay if a fault affects the link. */
     InetSocketAddress serverAddress(int node, int server) {
         return Optional.ofNullable(serverLinks.get(linkKey(node, server)))
                 .map(Relay::address)
                 .orElseGet(servers.get(server)::address);
     }
 
-    /** Returns where clients reach a node. */
+    /** Returns the address at which clients reach a node: that of a relay if a fault affects the link. */
     InetSocketAddress clientAddress(ProcessNodeHandle node) {
         return Optional.ofNullable(clientLinks.get(node.number()))
                 .map(Relay::address)
@@ -77,7 +77,7 @@
         memberLinks = Optional.of(links);
     }
 
-    /** Returns a future that completes when the run is over, or exceptionally when it cannot go on. */
+    /** Returns a future that completes when the run is over, or exceptionally if the run has to be aborted. */
     CompletableFuture<Void> completion() {
         return completion;
     }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -22,8 +22,8 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
 /**
- * Opens the servers, links, discovery agents and clients of a run and writes the nodes' files; no node is
- * started. Not to be called on the event loop.
+ * Opens the servers, links, discovery agents and clients of a run and writes the nodes' configuration files, but
+ * starts no node. Must not be used on the event loop, because it waits for sockets to be bound.
  */
 final class ProcessRunContextBuilder {
     private final Scenario scenario;
@@ -37,7 +37,7 @@
      * Creates a builder.
      *
      * @param nodeCommand the command that starts a node when the path of its configuration file is appended
-     * @param folder for files and logs
+     * @param folder the folder for the nodes' configuration files and logs
      */
     ProcessRunContextBuilder(
             ProcessRunContext context,
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Opens everything.
+     * Opens all parts of the run and adds them to the context.
      *
-     * @throws AddressUnavailableException if an address is taken
+     * @throws AddressUnavailableException if an address is already in use
      * @throws IOException if a file can't be written
      */
     void build() throws IOException {
@@ -154,7 +154,7 @@
         return node;
     }
 
-    /** Returns the membership part of a node's file, empty if the scenario has no cluster. */
+    /** Returns the membership section of a node's configuration file; empty if the scenario has no cluster. */
     private String membershipSection(int number) throws IOException {
         if (scenario.cluster() == null) {
             return "";
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -18,10 +18,12 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * A link between two processes: it listens where the one connects, connects to the other, and forwards both
- * streams as the {@link LinkState} says. Lives on one event loop.
+ * A link between two processes. It accepts connections from the one process, opens a connection to the other for each,
+ * and forwards the streams in both directions with the delays and faults of its {@link LinkState}. Used only on one
+ * event loop, except for {@link #start}.
  */
 final class Relay {
+    /** The interval at which a failed attempt to bind the address again is retried. */
     private static final long REBIND_RETRY_US = 1_000;
 
     private final EventLoop loop;
@@ -32,7 +34,7 @@
     private InetSocketAddress address;
     private Channel listener;
     private boolean isBinding;
-    /** In place of {@link #listener} while handshakes get no response; empty otherwise. */
+    /** Replaces {@link #listener} while handshakes get no response; empty otherwise. */
     private Optional<UnresponsiveListener> unresponsiveListener = Optional.empty();
 
     Relay(EventLoop loop, Scheduler scheduler, LinkState linkState, InetSocketAddress target) {
@@ -42,7 +44,7 @@
         this.target = target;
     }
 
-    /** Listens at this host, at a port of its own; not to be called on the loop. */
+    /** Listens at a free port of this host; must not be called on the event loop, because it waits. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
         address = Channels.localAddress(listener);
@@ -52,12 +54,12 @@
         return address;
     }
 
-    /** Returns for how long what has entered is still in transit, in microseconds. */
+    /** Returns in how many microseconds all bytes that are in transit now will have been delivered. */
     long remainingTransitUs() {
         return Math.max(0, linkState.busyUntilUs() - scheduler.nowUs());
     }
 
-    /** Begins or ends a fault; to be called on the loop. */
+    /** Begins or ends a fault; must be called on the event loop. */
     void applyFault(Fault fault, boolean begins) {
         linkState.apply(fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
@@ -69,14 +71,14 @@
         List.copyOf(connections).forEach(RelayConnection::flush);
     }
 
-    /** Returns whether a handshake gets no response now. */
+    /** Returns whether TCP handshakes get no response now. */
     boolean blocksHandshakes() {
         return unresponsiveListener.isPresent();
     }
 
     /**
-     * While the link is cut, a handshake gets no response. Between the two listeners lies a millisecond or two
-     * in which connections are refused.
+     * Switches to a listener that leaves handshakes without a response when the link is cut, and back afterwards.
+     * While one listener replaces the other, connections are refused for one or two milliseconds.
      */
     private void updateListener() {
         if (linkState.blocksHandshakes() && unresponsiveListener.isEmpty()) {
@@ -91,7 +93,7 @@
         try {
             unresponsiveListener = Optional.of(new UnresponsiveListener(address));
         } catch (BindException e) {
-            // The selector releases a closed socket only in its next turn.
+            // The event loop releases the closed socket only in its next iteration.
             scheduler.after(REBIND_RETRY_US, this::updateListener);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -113,7 +115,7 @@
         });
     }
 
-    /** Relays a connection; a link that does not listen itself is given its connections by this. */
+    /** Relays a connection. Called by the relay's own listener, or by another one if {@link #start} was not called. */
     void accept(SocketChannel channel) {
         if (linkState.isReset()) {
             Channels.closeWithReset(channel);
@@ -123,7 +125,7 @@
         new RelayConnection(loop, scheduler, linkState, channel, connections).connect(target);
     }
 
-    /** Resets all connections and listens no more. */
+    /** Stops listening and resets all connections. */
     void close() {
         listener.close();
         unresponsiveListener.ifPresent(UnresponsiveListener::close);
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -10,7 +10,10 @@
 import tansypass.testbed.model.LinkState;
 import tansypass.testbed.model.LinkState.Direction;
 
-/** A connection that a {@link Relay} accepted and the one that it opened for it. Lives on the relay's event loop. */
+/**
+ * A connection that a {@link Relay} accepted, with the connection to the target that the relay opened for it. Used
+ * only on the relay's event loop.
+ */
 final class RelayConnection {
     private static final int CONNECT_TIMEOUT_MS = 5_000;
 
@@ -19,12 +22,12 @@
     private final LinkState linkState;
     private final Set<RelayConnection> openConnections;
     private final Channel acceptedChannel;
-    /** Empty until the target has accepted. */
+    /** The connection to the target; empty until the target has accepted it. */
     private Optional<TargetSide> targetSide = Optional.empty();
 
     private boolean wasReset;
 
-    /** The connection to the target, and the pipes to it and back. */
+    /** The connection to the target, and the pipes in both directions. */
     private record TargetSide(Channel channel, RelayPipe toTarget, RelayPipe fromTarget) {}
 
     /** Creates a connection that is in {@code open} until both of its channels are closed. */
@@ -41,7 +44,7 @@
         this.openConnections = openConnections;
     }
 
-    /** Connects to the target and starts to relay; a target that refuses resets the accepted connection. */
+    /** Connects to the target and starts to relay; resets the accepted connection if the target refuses. */
     void connect(InetSocketAddress target) {
         openConnections.add(this);
         acceptedChannel.closeFuture().addListener(closed -> removeIfClosed());
@@ -67,7 +70,7 @@
             toTarget.startReading();
             fromTarget.startReading();
         } else if (wasReset) {
-            // It was reset while the other connection was being opened.
+            // The accepted connection was reset while the connection to the target was being opened.
             Channels.closeWithReset(targetChannel);
         } else {
             targetChannel.close();
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Forwards what is pending, as far as the link passes it. */
+    /** Forwards the pending bytes in the directions in which the link is not cut. */
     void flush() {
         targetSide.ifPresent(side -> {
             side.toTarget().flush();
@@ -97,7 +100,7 @@
     /** Resets both connections. */
     void reset() {
         wasReset = true;
-        // Both are prepared first: the end of one brings about the end of the other.
+        // Prepares the accepted connection first: when the other one closes, its pipe closes the accepted one too.
         Channels.resetOnClose(acceptedChannel);
         targetSide.map(TargetSide::channel).ifPresent(Channels::closeWithReset);
         acceptedChannel.close();
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -12,9 +12,9 @@
 import tansypass.testbed.model.LinkState.Direction;
 
 /**
- * One direction of a relayed connection: forwards what it reads, each chunk when the {@link LinkState} releases
- * it. It buffers a bounded number of bytes; past it the sender is not read, as for a full window. Lives on the
- * relay's event loop.
+ * One direction of a relayed connection. It forwards each chunk that it reads after the transit time that the
+ * {@link LinkState} determines. It buffers a bounded number of bytes: when the buffer is full it stops reading, which
+ * has the effect of a full TCP window on the sender. Used only on the relay's event loop.
  */
 final class RelayPipe extends ChannelInboundHandlerAdapter {
     private static final int MAX_BUFFERED_BYTES = 1 << 18;
@@ -24,9 +24,9 @@
     private final Channel source;
     private final Channel sink;
     private final Direction direction;
-    /** Read, and not yet in transit because the link is cut. */
+    /** Chunks that were read but are not in transit yet, because the link is cut. */
     private final Deque<ByteBuf> pending = new ArrayDeque<>();
-    /** In transit, with a timer each; a timer releases the oldest, so that the order is kept. */
+    /** Chunks in transit. Each has a timer, and each timer releases the oldest chunk, which preserves the order. */
     private final Deque<Runnable> inTransit = new ArrayDeque<>();
 
     private RelayPipe reverse;
@@ -46,7 +46,7 @@
         reverse = pipe;
     }
 
-    /** Starts to read. */
+    /** Starts to read from the source. */
     void startReading() {
         source.config().setAutoRead(true);
     }
@@ -60,7 +60,7 @@
         flush();
     }
 
-    /** Forwards what is pending, each chunk in its time, unless the link is cut. */
+    /** Puts the pending chunks in transit unless the link is cut; afterwards the end of the stream, if it was read. */
     void flush() {
         while (!pending.isEmpty() && !linkState.isCut(direction)) {
             ByteBuf chunk = pending.poll();
@@ -81,7 +81,7 @@
         updateReading();
     }
 
-    /** Reads only while there is capacity here and at the receiver. */
+    /** Reads only while the buffer has space and the sink accepts more bytes. */
     private void updateReading() {
         source.config().setAutoRead(bufferedBytes < MAX_BUFFERED_BYTES && sink.isWritable());
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Releases what is pending: both connections are closed. */
+    /** Releases the pending chunks; called when both connections are closed. */
     void releasePending() {
         pending.forEach(ReferenceCountUtil::release);
         pending.clear();
@@ -114,7 +114,7 @@
         flush();
     }
 
-    /** The source was reset, which is forwarded as a reset. */
+    /** Forwards a reset of the source as a reset of the sink. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!linkState.isCut(direction) && !linkState.isHalfOpen()) {
--- a/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RequestRateBenchmark.java
@@ -28,8 +28,8 @@
 import tansypass.testbed.scenario.ScenarioFile;
 
 /**
- * Measures how many requests per second a {@link LoadGenerator} sends on one thread, with a fixed number open at
- * once. Its methods block, and are not to be called on an event loop.
+ * Measures how many requests per second a {@link LoadGenerator} completes on one thread with a fixed number of open
+ * requests. The methods block, so they must not be called on an event loop.
  */
 final class RequestRateBenchmark {
     private static final int REQUEST_COUNT = 40_000;
@@ -51,7 +51,7 @@
     private final EventLoop clientLoop;
     private final Channel server;
 
-    /** Starts a server on one loop, for clients on the other one. */
+    /** Starts a server on one event loop, for clients on the other one. */
     RequestRateBenchmark(EventLoop clientLoop, EventLoop serverLoop) throws IOException {
         this.clientLoop = clientLoop;
         server = Channels.listen(serverLoop, new InetSocketAddress("127.0.0.1", 0), RequestRateBenchmark::initServer);
@@ -70,7 +70,7 @@
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new NotFoundHandler());
     }
 
-    /** Returns the number of requests per second. */
+    /** Measures the number of requests per second. */
     double measureRequestsPerS() throws InterruptedException, ExecutionException, TimeoutException {
         EventLoopScheduler scheduler = new EventLoopScheduler(clientLoop);
         RunClock clock = new RunClock(scheduler);
@@ -95,8 +95,8 @@
         if (sentCount == REQUEST_COUNT && clients.openRequestCount() == 0) {
             done.complete(null);
         } else {
-            // A timer and not a task: tasks that follow each other at once would keep the loop from its
-            // sockets.
+            // A timer, not a task: tasks that are submitted one after another would keep the event loop from serving
+            // its sockets.
             clientLoop.schedule(
                     () -> keepRequestsOpen(clients, clock, sentCount, done), REFILL_INTERVAL_US, TimeUnit.MICROSECONDS);
         }
--- a/testbed/src/main/java/tansypass/testbed/process/ResourceCheck.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ResourceCheck.java
@@ -8,19 +8,20 @@
 import tansypass.testbed.model.FaultSchedule;
 import tansypass.testbed.scenario.Scenario;
 
-/** Checks before a run that this machine has the memory and the descriptors for it. */
+/** Checks before a run that this machine has enough memory and file descriptors for it. */
 final class ResourceCheck {
-    /** A node's resident memory, with some to spare; measured at 95 to 115 MB. */
+    /** Resident memory of a node: 95 to 115 MB were measured, plus a margin. */
     private static final long NODE_MEMORY_MB = 130;
 
+    /** Margin for descriptors that the estimate does not include. */
     private static final int SPARE_DESCRIPTORS = 200;
 
     private ResourceCheck() {}
 
     /**
-     * Checks memory and descriptors.
+     * Checks that the nodes fit into the free memory, and the connections into the limit on descriptors.
      *
-     * @throws InsufficientResourcesException if this machine has too few
+     * @throws InsufficientResourcesException if this machine has too little of either
      */
     static void requireEnoughFor(Scenario scenario) throws InsufficientResourcesException {
         long freeMemoryMb = freeMemoryMb();
@@ -30,7 +31,7 @@
                     + freeMemoryMb + " MB are free and a node takes up to " + NODE_MEMORY_MB + " MB");
         }
         long linkCount = FaultSchedule.faultyLinks(scenario).size();
-        // A client's connection has one descriptor here, one to a server too, and a link's two.
+        // In this process a connection of a client or to a server takes one descriptor, and a relayed connection two.
         long neededDescriptors = scenario.servers().count()
                 + 2L * scenario.nodes().count()
                 + linkCount
@@ -54,7 +55,7 @@
                     .findFirst()
                     .orElse(Long.MAX_VALUE);
         } catch (IOException e) {
-            // Without this file the start of the nodes shows whether they fit.
+            // A system without /proc/meminfo: if memory is too small, the nodes fail to start.
             return Long.MAX_VALUE;
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/RunAbortedException.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RunAbortedException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown if a run can't go on because a fault can't be injected; the message says which signal or start failed. */
+/** Thrown if a run is aborted because a fault can't be injected; the message names the signal or start that failed. */
 public final class RunAbortedException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/testbed/src/main/java/tansypass/testbed/process/RunClock.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RunClock.java
@@ -2,7 +2,7 @@
 
 import tansypass.cluster.runtime.Scheduler;
 
-/** The time since the load began, as the checker and reports have it. Not thread-safe. */
+/** Measures the time since the load began, which the checker and the reports use. Not thread-safe. */
 final class RunClock {
     private final Scheduler scheduler;
     private long loadStartUs;
@@ -12,7 +12,7 @@
         loadStartUs = scheduler.nowUs();
     }
 
-    /** Sets the time to 0; what happened before has negative times. */
+    /** Sets the current time to 0; earlier times are negative. */
     void markLoadStart() {
         loadStartUs = scheduler.nowUs();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
@@ -18,7 +18,7 @@
 import tansypass.testbed.model.WebServer;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** The sockets of a web server; its responses come from its {@link WebServer}. Lives on the run's event loop. */
+/** The sockets of a web server whose responses a {@link WebServer} computes. Used only on the run's event loop. */
 final class StubWebServer {
     private static final int MAX_BODY_BYTES = 65_536;
 
@@ -47,7 +47,7 @@
         this.classesByName = Map.copyOf(classesByName);
     }
 
-    /** Listens at this host, at a port of its own; not to be called on the loop. */
+    /** Listens at a free port of this host; must not be called on the event loop, because it waits. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
         address = Channels.localAddress(listener);
@@ -61,14 +61,14 @@
         return model;
     }
 
-    /** Acts as if its process were killed: connections are reset, and new ones refused. */
+    /** Simulates that the server's process is killed: open connections are reset, and new ones are refused. */
     void stop() {
         listener.close();
         model.stop();
         Set.copyOf(channels).forEach(Channels::closeWithReset);
     }
 
-    /** Acts as if its process had started again, with a slow start; a violation if it cannot listen. */
+    /** Simulates a new process, which begins with slow start; reports a violation if the address can't be bound. */
     void restart() {
         model.start();
         Channels.bind(loop, address, true, this::accept).addListener(bindResult -> {
@@ -94,22 +94,22 @@
                         new StubWebServerConnection(this));
     }
 
-    /** Removes a connection that was closed; returns whether it was there. */
+    /** Removes a connection that was closed; returns whether it was still in the server's list. */
     boolean removeConnection(Channel channel) {
         boolean isRemoved = channels.remove(channel);
-        // A stopped process has no table of connections.
+        // A stopped server has already forgotten its connections.
         if (isRemoved && listener.isOpen()) {
             model.connectionClosed();
         }
         return isRemoved;
     }
 
-    /** Returns the class of the requests to a path; empty if the scenario has none of this name. */
+    /** Returns the request class with this name; empty if the scenario has none. */
     Optional<RequestClass> findRequestClass(String className) {
         return Optional.ofNullable(classesByName.get(className));
     }
 
-    /** Notifies the checker of a complete request; returns the number of the attempt. */
+    /** Notifies the checker of a complete request; returns the checker's number of the attempt. */
     int recordAttemptStarted(String requestId) {
         return checker.attemptStarted(clock.nowUs(), requestId, number);
     }
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
@@ -15,7 +15,7 @@
 import tansypass.testbed.model.WebServer;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** One connection to a {@link StubWebServer}, which carries one request at a time. Lives on the run's event loop. */
+/** One connection to a {@link StubWebServer}, with one request at a time. Used only on the run's event loop. */
 final class StubWebServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String REQUEST_ID_HEADER = "X-Txn";
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
@@ -28,7 +28,7 @@
     private Optional<Attempt> attempt = Optional.empty();
     private Optional<WebServer.Execution> execution = Optional.empty();
 
-    /** The attempt in flight: the id of its request, and its number as the checker gave it. */
+    /** An attempt in flight: the id of its request, and the number that the checker assigned to it. */
     private record Attempt(String requestId, int number) {}
 
     StubWebServerConnection(StubWebServer server) {
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -16,8 +16,9 @@
 import tansypass.testbed.model.LinkState;
 
 /**
- * Measures the overhead of the testbed itself, so that it is not taken for the product's: a {@link Relay}
- * compared to a direct connection, and how many requests per second the clients of one thread send.
+ * Measures the overhead of the testbed itself, so that it can be told from that of the product: the throughput and
+ * round-trip time of a {@link Relay} compared with a direct connection, and the requests per second that clients on one
+ * thread complete.
  */
 public final class TestbedBenchmark {
     private static final int THREAD_COUNT = 3;
@@ -30,7 +31,7 @@
     private TestbedBenchmark() {}
 
     /**
-     * Measures each figure {@code runs} times, in turn, and returns medians, least and most as text.
+     * Measures each figure {@code runs} times, alternately, and returns medians, minima and maxima as text.
      *
      * @throws BenchmarkException if a measurement fails or takes too long
      * @throws IOException if a socket can't be opened
@@ -40,7 +41,7 @@
         try {
             return benchmark.measureAll(runs);
         } catch (ExecutionException | TimeoutException e) {
-            throw new BenchmarkException("a measurement failed: " + e, e);
+            throw new BenchmarkException("a measurement of the testbed failed: " + e, e);
         } finally {
             benchmark.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
--- a/testbed/src/main/java/tansypass/testbed/process/UnresponsiveListener.java
+++ b/testbed/src/main/java/tansypass/testbed/process/UnresponsiveListener.java
@@ -11,20 +11,20 @@
 import java.util.List;
 
 /**
- * A listening socket whose backlog is full, so that the system leaves further handshakes without a response, as
- * on a link that is cut.
+ * A listening socket whose backlog is full. The operating system leaves further handshakes without a response, which
+ * is what a client sees on a link that is cut.
  */
 final class UnresponsiveListener {
-    /** With a backlog of 1 the system accepts two connections and leaves the third without a response. */
+    /** With a backlog of 1, the system accepts two connections and leaves the third handshake without a response. */
     private static final int FILLER_CONNECTIONS = 2;
 
     private final ServerSocketChannel listener;
     private final List<SocketChannel> fillerConnections = new ArrayList<>();
 
     /**
-     * Listens and fills the backlog.
+     * Listens at an address and fills the backlog.
      *
-     * @throws BindException if the address is not free yet; nothing is left open then
+     * @throws BindException if the address is still in use; no socket is left open in this case
      */
     UnresponsiveListener(InetSocketAddress address) throws IOException {
         listener = ServerSocketChannel.open();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Closes its sockets; throws UncheckedIOException if one cannot be closed. */
+    /** Closes the listener and its connections; throws UncheckedIOException if one can't be closed. */
     void close() {
         try {
             for (SocketChannel filler : fillerConnections) {
--- a/testbed/src/main/java/tansypass/testbed/process/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs on real processes of the program: nodes as child processes, and web servers, discovery, links and clients on
- * sockets of one event loop. All addresses are loopback addresses.
+ * Runs of scenarios on real processes of the program. Nodes are child processes; web servers, discovery agents, links
+ * and clients use sockets on one event loop. All addresses are loopback addresses.
  */
 package tansypass.testbed.process;
