--- a/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.invariant;
 
-import static tansypass.testbed.invariant.TimeTolerance.SLACK_US;
+import static tansypass.testbed.invariant.TimeTolerance.TIMING_SLACK_US;
 
 import java.util.OptionalLong;
 import tansypass.config.NodeFile.DeduplicationScope;
@@ -10,8 +10,8 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
 /**
- * Checks the attempts of requests: retries and hedged requests are only those that the class allows, and none
- * is sent to a draining server. Times are microseconds since the load began. Not thread-safe.
+ * Checks the attempts of requests: a request is retried or hedged only as its class allows, and no attempt is sent to
+ * a draining server. Times are microseconds since the load began. Not thread-safe.
  */
 final class AttemptInvariants {
     private final Scenario scenario;
@@ -24,14 +24,14 @@
         this.drainNotifications = drainNotifications;
     }
 
-    /** Checks a new attempt at a server against the earlier ones of the request. */
-    void checkRepeated(long nowUs, String id, RequestRecord request, int server) {
+    /** Checks whether a new attempt at a server is allowed after the earlier attempts of the request. */
+    void checkRepeat(long nowUs, String id, RequestRecord request, int server) {
         for (AttemptRecord earlier : request.attempts) {
             if (earlier.isKnownNotExecuted) {
                 continue;
             }
             if (earlier.isInFlight && !scenario.nodes().hedging()) {
-                earlier.overlap(nowUs);
+                earlier.recordOverlap(nowUs);
             }
             if (!canRepeat(nowUs, request.requestClass, earlier, server)) {
                 recorder.recordViolation(
@@ -46,7 +46,7 @@
     private boolean canRepeat(long nowUs, RequestClass requestClass, AttemptRecord earlier, int server) {
         if (requestClass.idempotency() == Idempotency.KEYED) {
             return isInScope(requestClass.deduplicationScope(), earlier.server, server)
-                    && nowUs <= earlier.startedUs + requestClass.deduplicationWindowUs() + SLACK_US;
+                    && nowUs <= earlier.startedUs + requestClass.deduplicationWindowUs() + TIMING_SLACK_US;
         }
         return requestClass.idempotency() != Idempotency.UNSAFE;
     }
@@ -61,10 +61,10 @@
         };
     }
 
-    /** Checks that the server of a new attempt is not draining for longer than the node's grace. */
+    /** Checks that the server of a new attempt was not already draining when the node's grace period ended. */
     void checkDraining(long nowUs, String id, RequestRecord request, int server) {
         OptionalLong notifiedUs = drainNotifications.notifiedUs(request.node, server);
-        long graceUs = scenario.nodes().drainGraceUs() + SLACK_US;
+        long graceUs = scenario.nodes().drainGraceUs() + TIMING_SLACK_US;
         if (notifiedUs.isPresent() && nowUs > notifiedUs.getAsLong() + graceUs) {
             recorder.recordViolation(
                     Invariant.DRAINING,
@@ -75,12 +75,12 @@
     }
 
     /**
-     * Checks an attempt that has ended, or that is still in flight at the end of the run, for a second one
-     * beside it. The end of one attempt and the start of the next cross on two connections, so a short overlap
-     * is allowed.
+     * Checks that no later attempt overlapped with an attempt that has ended, or that is still in flight at the end of
+     * the run. A short overlap is allowed: the end of one attempt and the start of the next travel on two connections
+     * and may be observed in either order.
      */
     void checkOverlap(long nowUs, String id, AttemptRecord earlier) {
-        if (earlier.isOverlapped() && nowUs > earlier.overlappedUs() + SLACK_US) {
+        if (earlier.isOverlapped() && nowUs > earlier.overlappedUs() + TIMING_SLACK_US) {
             recorder.recordViolation(
                     Invariant.REPEATED,
                     earlier.overlappedUs(),
--- a/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
@@ -7,62 +7,63 @@
 import java.util.TreeSet;
 
 /**
- * Since when each node counts as notified that a server is draining or terminated. Times are microseconds since the
- * load began.
+ * Records the time from which each node counts as notified that a server is draining or terminated. Times are
+ * microseconds since the load began.
  */
 final class DrainNotifications {
-    /** After this time discovery counts as having notified every node (PROTOCOL, figures). */
-    private static final long NOTIFIED_AT_LATEST_US = 6_000_000;
+    /** The longest time in which discovery notifies every node of a change (PROTOCOL, figures). */
+    private static final long MAX_NOTIFICATION_DELAY_US = 6_000_000;
 
-    private final int nodes;
-    private final Map<String, Long> notifiedUs = new HashMap<>();
-    /** Servers that are draining by the list as it stands, whether nodes were notified or not. */
-    private final Set<Integer> draining = new TreeSet<>();
+    private final int nodeCount;
+    private final Map<String, Long> notifiedUsByLink = new HashMap<>();
+    /** Servers that are draining in the current endpoint list, whether or not nodes have been notified. */
+    private final Set<Integer> drainingServers = new TreeSet<>();
 
-    DrainNotifications(int nodes) {
-        this.nodes = nodes;
+    DrainNotifications(int nodeCount) {
+        this.nodeCount = nodeCount;
     }
 
-    static String key(int node, int server) {
+    static String linkKey(int node, int server) {
         return node + ">" + server;
     }
 
-    /** Discovery has written to a node that a server is draining, or that it is back. */
-    void notified(long nowUs, int node, int server, boolean isDraining) {
+    /** Records that discovery has notified a node that a server is draining, or that it is ready again. */
+    void recordNotified(long nowUs, int node, int server, boolean isDraining) {
         if (isDraining) {
-            notifiedUs.merge(key(node, server), nowUs, Math::min);
+            notifiedUsByLink.merge(linkKey(node, server), nowUs, Math::min);
         } else {
-            notifiedUs.remove(key(node, server));
+            notifiedUsByLink.remove(linkKey(node, server));
         }
     }
 
-    /** The list has changed: every node counts as notified some time later. */
-    void listed(long nowUs, int server, boolean isDraining) {
+    /** Records a change of the endpoint list; every node counts as notified after the longest notification delay. */
+    void recordListed(long nowUs, int server, boolean isDraining) {
         if (isDraining) {
-            draining.add(server);
+            drainingServers.add(server);
         } else {
-            draining.remove(server);
+            drainingServers.remove(server);
         }
-        for (int node = 0; node < nodes; node++) {
-            String key = key(node, server);
+        for (int node = 0; node < nodeCount; node++) {
+            String key = linkKey(node, server);
             if (isDraining) {
-                notifiedUs.putIfAbsent(key, nowUs + NOTIFIED_AT_LATEST_US);
-            } else if (notifiedUs.getOrDefault(key, nowUs) > nowUs) {
-                // It is back before the node counts as notified that it was draining.
-                notifiedUs.remove(key);
+                notifiedUsByLink.putIfAbsent(key, nowUs + MAX_NOTIFICATION_DELAY_US);
+            } else if (notifiedUsByLink.getOrDefault(key, nowUs) > nowUs) {
+                // The server is ready again before the node counted as notified that it was draining.
+                notifiedUsByLink.remove(key);
             }
         }
     }
 
-    /** A node's new process was not notified of anything yet. */
-    void nodeStarted(long nowUs, int node) {
-        notifiedUs.keySet().removeIf(key -> key.startsWith(node + ">"));
-        draining.forEach(server -> notifiedUs.put(key(node, server), nowUs + NOTIFIED_AT_LATEST_US));
+    /** Records the start of a node's new process, which has not been notified of anything yet. */
+    void recordNodeStarted(long nowUs, int node) {
+        notifiedUsByLink.keySet().removeIf(key -> key.startsWith(node + ">"));
+        drainingServers.forEach(
+                server -> notifiedUsByLink.put(linkKey(node, server), nowUs + MAX_NOTIFICATION_DELAY_US));
     }
 
-    /** Returns when the node counts as notified; empty if it does not. */
+    /** Returns the time from which the node counts as notified; empty if there is none. */
     OptionalLong notifiedUs(int node, int server) {
-        Long atUs = notifiedUs.get(key(node, server));
+        Long atUs = notifiedUsByLink.get(linkKey(node, server));
         return atUs == null ? OptionalLong.empty() : OptionalLong.of(atUs);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/invariant/Excuse.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/Excuse.java
@@ -2,19 +2,19 @@
 
 /** A period in which a node is not held responsible for responses that its clients miss. */
 public final class Excuse {
-    private final long fromUs;
-    private long toUs = Long.MAX_VALUE;
+    private final long startUs;
+    private long endUs = Long.MAX_VALUE;
 
-    Excuse(long fromUs) {
-        this.fromUs = fromUs;
+    Excuse(long startUs) {
+        this.startUs = startUs;
     }
 
-    /** Ends the period at {@code atUs}, in microseconds since the load began; the last call counts. */
+    /** Ends the period at {@code atUs}, in microseconds since the load began; a later call replaces the time. */
     public void end(long atUs) {
-        toUs = atUs;
+        endUs = atUs;
     }
 
     boolean overlaps(long firstUs, long lastUs) {
-        return fromUs <= lastUs && toUs >= firstUs;
+        return startUs <= lastUs && endUs >= firstUs;
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
@@ -1,7 +1,7 @@
 package tansypass.testbed.invariant;
 
-import static tansypass.testbed.invariant.TimeTolerance.LATE_US;
-import static tansypass.testbed.invariant.TimeTolerance.SLACK_US;
+import static tansypass.testbed.invariant.TimeTolerance.LATE_RESPONSE_TOLERANCE_US;
+import static tansypass.testbed.invariant.TimeTolerance.TIMING_SLACK_US;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -16,16 +16,19 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
 /**
- * Receives each event of a run once, checks the {@link Invariant}s on it and counts. It does not depend on
- * how nodes, servers and links are made. Times are microseconds since the load began. Not thread-safe: all
- * calls come from the run's one thread.
+ * Receives each event of a run once, checks the {@link Invariant}s and collects statistics. It is the same for runs in
+ * virtual time and on real processes. Times are microseconds since the load began. Not thread-safe: all calls must
+ * come from the run's single thread.
  */
 public final class InvariantChecker {
     private static final int STATUS_OK = 200;
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
-    /** Beyond one in so many, requests whose new connection was closed unread are violations (STANDING). */
-    private static final int CLOSED_UNREAD_RATIO = 200;
+    /**
+     * One in so many requests may fail because the node closed a new connection without reading it; more are a
+     * violation (STANDING).
+     */
+    private static final int REQUESTS_PER_CLOSED_UNREAD = 200;
 
     private final RunStatistics statistics = new RunStatistics();
     private final ViolationRecorder recorder = new ViolationRecorder();
@@ -35,7 +38,7 @@
     private final AttemptInvariants attemptInvariants;
     private final NodeExcuses excuses = new NodeExcuses();
     private final Optional<MembershipInvariantChecker> membershipChecker;
-    private int closedUnread;
+    private int closedUnreadCount;
 
     /** Creates a checker for one run of the scenario. */
     public InvariantChecker(Scenario scenario) {
@@ -45,7 +48,7 @@
                 .map(cluster -> new MembershipInvariantChecker(recorder, cluster.periodUs()));
     }
 
-    /** A client sent a request to a node and waits until {@code deadlineUs}. */
+    /** Records that a client sent a request to a node and needs the response by {@code deadlineUs}. */
     public void requestSent(
             long nowUs, String id, RequestClass requestClass, int node, long intendedUs, long deadlineUs) {
         recorder.trace(nowUs, "sent", id, node);
@@ -53,14 +56,14 @@
         requests.put(id, new RequestRecord(requestClass, node, intendedUs, deadlineUs));
     }
 
-    /** A request that was due could not be sent. */
+    /** Records that a request that was due could not be sent. */
     public void requestNotSent(long nowUs, long intendedUs) {
         recorder.trace(nowUs, "not sent", "", intendedUs);
         statistics.recordEnd(End.NOT_SENT, intendedUs, nowUs);
     }
 
     /**
-     * A server received a complete request.
+     * Records that a server received a complete request.
      *
      * @return the number of this attempt of the request, or -1 if the request is not in progress
      */
@@ -69,7 +72,7 @@
         statistics.recordAttempt();
         RequestRecord request = requests.get(id);
         if (request == null) {
-            // A retry may arrive after its client has its response; a request that nobody sent may not.
+            // A retry may arrive after the client has received its response; a request that no client sent may not.
             if (!endedIds.contains(id)) {
                 recorder.recordViolation(
                         Invariant.INVENTED_REQUEST,
@@ -78,13 +81,13 @@
             }
             return -1;
         }
-        attemptInvariants.checkRepeated(nowUs, id, request, server);
+        attemptInvariants.checkRepeat(nowUs, id, request, server);
         attemptInvariants.checkDraining(nowUs, id, request, server);
         request.attempts.add(new AttemptRecord(server, nowUs));
         return request.attempts.size() - 1;
     }
 
-    /** A server produced a response for a request. */
+    /** Records that a server produced a response for a request. */
     public void responseProduced(long nowUs, String id, int server, String body) {
         recorder.trace(nowUs, "made", id + body, server);
         RequestRecord request = requests.get(id);
@@ -93,20 +96,20 @@
         }
     }
 
-    /** An attempt is no longer in flight: its response is complete, or its connection has ended. */
+    /** Records that an attempt is no longer in flight: its response is complete, or its connection was closed. */
     public void attemptEnded(long nowUs, String id, int attempt, boolean isKnownNotExecuted) {
         recorder.trace(nowUs, "attempt ended", id, attempt);
         RequestRecord request = requests.get(id);
         if (request != null && attempt >= 0) {
-            AttemptRecord ended = request.attempts.get(attempt);
-            ended.isInFlight = false;
-            ended.isKnownNotExecuted = isKnownNotExecuted;
-            attemptInvariants.checkOverlap(nowUs, id, ended);
+            AttemptRecord endedAttempt = request.attempts.get(attempt);
+            endedAttempt.isInFlight = false;
+            endedAttempt.isKnownNotExecuted = isKnownNotExecuted;
+            attemptInvariants.checkOverlap(nowUs, id, endedAttempt);
             removeIfDone(id, request);
         }
     }
 
-    /** The client received a complete response. */
+    /** Records that the client received a complete response. */
     public void responseReceived(long nowUs, String id, int status, String body) {
         recorder.trace(nowUs, "answered", id, status);
         RequestRecord request = requests.get(id);
@@ -120,14 +123,14 @@
                     nowUs,
                     "node-" + request.node + " served " + id + " with what no server made for it");
         }
-        if (nowUs > request.deadlineUs + SLACK_US + LATE_US && !excuses.isExcused(request)) {
+        if (nowUs > request.deadlineUs + TIMING_SLACK_US + LATE_RESPONSE_TOLERANCE_US && !excuses.isExcused(request)) {
             recorder.recordViolation(
                     Invariant.ANSWERED,
                     nowUs,
                     "node-" + request.node + " answered " + id + " " + (nowUs - request.deadlineUs) / 1_000
                             + " ms past its time");
         }
-        end(nowUs, id, request, endOf(status, nowUs > request.deadlineUs + SLACK_US));
+        endRequest(nowUs, id, request, endOf(status, nowUs > request.deadlineUs + TIMING_SLACK_US));
     }
 
     private static End endOf(int status, boolean isLate) {
@@ -139,49 +142,49 @@
     }
 
     /**
-     * The client's connection ended before the response was complete.
+     * Records that the client's connection was closed before the response was complete.
      *
-     * @param isFirst whether it was the first request on its connection and no byte came back
+     * @param isFirst whether the request was the first on its connection and no byte of a response arrived
      */
     public void connectionBroken(long nowUs, String id, boolean isFirst) {
         recorder.trace(nowUs, "broken", id, isFirst ? 1 : 0);
         RequestRecord request = requests.get(id);
-        boolean excused = excuses.isExcused(request);
-        if (!excused && isFirst) {
-            closedUnread++;
-        } else if (!excused) {
+        boolean isExcused = excuses.isExcused(request);
+        if (!isExcused && isFirst) {
+            closedUnreadCount++;
+        } else if (!isExcused) {
             recorder.recordViolation(
                     Invariant.ANSWERED,
                     nowUs,
                     "node-" + request.node + " ended the connection of " + id + " without a whole answer");
         }
-        end(nowUs, id, request, End.UNREACHABLE);
+        endRequest(nowUs, id, request, End.UNREACHABLE);
     }
 
-    /** The node's address refused the connection, so the request was never accepted. */
+    /** Records that the node's address refused the connection, so the request was never accepted. */
     public void connectionRefused(long nowUs, String id) {
         recorder.trace(nowUs, "refused connection", id, 0);
-        end(nowUs, id, requests.get(id), End.UNREACHABLE);
+        endRequest(nowUs, id, requests.get(id), End.UNREACHABLE);
     }
 
-    /** The client stopped waiting, {@link #responseTimeoutAtUs long} after the deadline. */
+    /** Records that the client stopped waiting, at the time that {@link #responseTimeoutAtUs} returns. */
     public void responseTimedOut(long nowUs, String id) {
         recorder.trace(nowUs, "gave up", id, 0);
         RequestRecord request = requests.get(id);
         if (!excuses.isExcused(request)) {
             recorder.recordViolation(Invariant.ANSWERED, nowUs, "node-" + request.node + " never answered " + id);
         }
-        end(nowUs, id, request, End.TIMED_OUT);
+        endRequest(nowUs, id, request, End.TIMED_OUT);
     }
 
-    /** Returns until when a client with this deadline waits for a late response. */
+    /** Returns the time at which a client with this deadline stops waiting for a late response. */
     public static long responseTimeoutAtUs(long deadlineUs) {
-        return deadlineUs + SLACK_US + LATE_US + SLACK_US;
+        return deadlineUs + TIMING_SLACK_US + LATE_RESPONSE_TOLERANCE_US + TIMING_SLACK_US;
     }
 
-    private void end(long nowUs, String id, RequestRecord request, End end) {
+    private void endRequest(long nowUs, String id, RequestRecord request, End end) {
         statistics.recordEnd(end, request.intendedUs, nowUs);
-        request.end(nowUs);
+        request.recordEnd(nowUs);
         removeIfDone(id, request);
     }
 
@@ -192,46 +195,50 @@
         }
     }
 
-    /** Discovery notified a node that a server is draining or terminated, or that it is back. */
+    /** Records that discovery notified a node that a server is draining or terminated, or that it is ready again. */
     public void endpointNotified(long nowUs, int node, int server, boolean isDraining) {
-        recorder.trace(nowUs, "told", DrainNotifications.key(node, server), isDraining ? 1 : 0);
-        drainNotifications.notified(nowUs, node, server, isDraining);
+        recorder.trace(nowUs, "told", DrainNotifications.linkKey(node, server), isDraining ? 1 : 0);
+        drainNotifications.recordNotified(nowUs, node, server, isDraining);
     }
 
-    /** The endpoint list changed: whether or not a node is notified, it counts as notified some time later. */
+    /** Records a change of the endpoint list; some time later all nodes count as notified, even if they were not. */
     public void endpointListed(long nowUs, int server, boolean isDraining) {
-        drainNotifications.listed(nowUs, server, isDraining);
+        drainNotifications.recordListed(nowUs, server, isDraining);
     }
 
-    /** A node's process started; what earlier processes were notified of does not count for it. */
+    /** Records the start of a node's process; notifications to the node's earlier processes no longer count. */
     public void nodeStarted(long nowUs, int node) {
         recorder.trace(nowUs, "started", "node-" + node, 0);
-        drainNotifications.nodeStarted(nowUs, node);
+        drainNotifications.recordNodeStarted(nowUs, node);
     }
 
-    /** A node is killed or stopped, or its link to the clients has a fault, until the excuse is ended. */
+    /**
+     * Excuses a node until the returned excuse is ended, because it is killed or stopped or its link to the clients has
+     * a fault.
+     */
     public Excuse excuseNode(long nowUs, int node) {
         recorder.trace(nowUs, "excused", "node-" + node, 0);
         return excuses.excuse(nowUs, node);
     }
 
-    /** A process ended, or failed in a call, with no fault injected. */
+    /** Records that a process exited, or that a call to it failed, although no fault was injected. */
     public void processDied(long nowUs, String process, String reason) {
         recorder.recordViolation(Invariant.DIED, nowUs, process + " " + reason);
     }
 
-    /** A request, attempt or process is left at the end of the run. */
+    /** Records that a request, attempt or process is left at the end of the run. */
     public void resourceLeaked(long nowUs, String description) {
         recorder.recordViolation(Invariant.LEAKED, nowUs, description);
     }
 
-    /** Ends the run: a request that is still open was never answered, and an attempt still in flight leaked. */
+    /** Ends the run: a request that is still open has timed out, and an attempt that is still in flight has leaked. */
     public void finish(long nowUs) {
-        for (Map.Entry<String, RequestRecord> open : new ArrayList<>(requests.entrySet())) {
-            finishRequest(nowUs, open.getKey(), open.getValue());
+        for (Map.Entry<String, RequestRecord> openRequest : new ArrayList<>(requests.entrySet())) {
+            finishRequest(nowUs, openRequest.getKey(), openRequest.getValue());
         }
-        if (closedUnread > 0 && (long) closedUnread * CLOSED_UNREAD_RATIO > statistics.offered()) {
-            recorder.recordViolation(Invariant.ANSWERED, nowUs, closedUnread + " new connections were closed unread");
+        if (closedUnreadCount > 0 && (long) closedUnreadCount * REQUESTS_PER_CLOSED_UNREAD > statistics.offered()) {
+            recorder.recordViolation(
+                    Invariant.ANSWERED, nowUs, closedUnreadCount + " new connections were closed unread");
         }
     }
 
@@ -241,7 +248,7 @@
         }
         request.attempts.stream().filter(attempt -> attempt.isInFlight).forEach(attempt -> {
             attemptInvariants.checkOverlap(nowUs, id, attempt);
-            if (nowUs > request.endedUs() + SLACK_US + LATE_US) {
+            if (nowUs > request.endedUs() + TIMING_SLACK_US + LATE_RESPONSE_TOLERANCE_US) {
                 resourceLeaked(nowUs, "an attempt of " + id + " is still out at server-" + attempt.server);
             }
         });
@@ -252,22 +259,22 @@
         return membershipChecker;
     }
 
-    /** Returns the counts and times of all requests so far. */
+    /** Returns the statistics of all requests so far. */
     public RunStatistics statistics() {
         return statistics;
     }
 
-    /** Returns the first violations in order, 100 at most. */
+    /** Returns the violations in order; only the first 100 are kept. */
     public List<Violation> violations() {
         return recorder.violations();
     }
 
-    /** Returns how many violations there were, including those not kept. */
+    /** Returns the number of violations, including those that were not kept. */
     public int violationCount() {
         return recorder.violationCount();
     }
 
-    /** Returns a hash that is equal for equal events in equal order. */
+    /** Returns a hash of the trace: two runs with the same events in the same order have the same hash. */
     public String traceHash() {
         return recorder.traceHash();
     }
--- a/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
@@ -8,25 +8,28 @@
 import java.util.TreeSet;
 
 /**
- * Checks the nodes' membership views. Nodes are numbers; an incarnation identifies one process of a
- * node. In virtual time it receives each change of a view, on real processes what polls show. Times are
- * microseconds since the load began. Not thread-safe.
+ * Checks the nodes' membership views. A node is identified by its number, and one process of a node by a key, which is
+ * its generation and nonce. In virtual time the checker receives each change of a view; on real processes it receives
+ * the views that are polled. Times are microseconds since the load began. Not thread-safe.
  */
 public final class MembershipInvariantChecker {
-    /** For how many periods after its end a fault excuses a member that is declared failed. */
+    /** The number of protocol periods after the end of a fault in which a member may still be declared failed. */
     private static final int EXCUSED_PERIODS = 30;
-    /** Views are equal so many periods after the last fault and the last start or exit of a process. */
-    private static final int AGREE_PERIODS = 25;
+    /**
+     * The number of protocol periods in which views become equal after the last fault and the last start or exit of a
+     * process.
+     */
+    private static final int AGREEMENT_PERIODS = 25;
 
     private final ViolationRecorder recorder;
     private final long periodUs;
-    private final Map<Integer, String> liveIncarnations = new HashMap<>();
-    private final Map<Integer, Integer> activeFaults = new HashMap<>();
+    private final Map<Integer, String> liveProcessKeys = new HashMap<>();
+    private final Map<Integer, Integer> activeFaultCounts = new HashMap<>();
     private final Map<Integer, Long> excusedUntilUs = new HashMap<>();
     private final Map<String, Line> lastLines = new HashMap<>();
-    private final Map<String, Death> deaths = new LinkedHashMap<>();
+    private final Map<String, Death> deathByProcessKey = new LinkedHashMap<>();
 
-    /** A death without notice, and when other members detected it. */
+    /** The exit of a node's process without leaving the cluster, and the times at which other members detected it. */
     public static final class Death {
         private final int node;
         private final long diedAtUs;
@@ -39,22 +42,22 @@
             this.diedAtUs = atUs;
         }
 
-        /** Returns the node that died. */
+        /** Returns the number of the node whose process exited. */
         public int node() {
             return node;
         }
 
-        /** Returns after how long the first member detected it, or -1 if none did. */
+        /** Returns the time from the exit until the first member detected it, or -1 if none did. */
         public long firstDetectionUs() {
             return firstDetectionUs;
         }
 
-        /** Returns after how long the last member so far detected it, or -1 if none did. */
+        /** Returns the time from the exit until the last member so far detected it, or -1 if none did. */
         public long lastDetectionUs() {
             return lastDetectionUs;
         }
 
-        /** Returns how many members detected it. */
+        /** Returns the number of members that detected the exit. */
         public int observerCount() {
             return observerCount;
         }
@@ -67,7 +70,15 @@
         }
     }
 
-    /** The entry of one member in a view; its text, with the names of the components, is part of traces. */
+    /**
+     * The entry of one member in a view. Violations and traces contain the text of this record, so the names of the
+     * record and its components must not change.
+     *
+     * @param of the number of the member's node
+     * @param life the key of the member's process
+     * @param state the member's state, as the membership protocol names it
+     * @param incarnation the incarnation number, which only the process itself raises
+     */
     public record Line(int of, String life, String state, long incarnation) {
 
         /** Returns whether the member counts as present. */
@@ -81,60 +92,60 @@
         this.periodUs = periodUs;
     }
 
-    /** Returns whether a run that waits so long after its load waits long enough for views to be equal. */
+    /** Returns whether views must be equal at the end of a run that waits for this time after its load. */
     public boolean isAgreementDue(long settleUs) {
-        return settleUs >= AGREE_PERIODS * periodUs;
+        return settleUs >= AGREEMENT_PERIODS * periodUs;
     }
 
-    /** A fault of a node or of a link of it begins, or one that began ends. */
+    /** Records that a fault of a node, or of a link of this node, begins or ends. */
     public void faultChanged(int node, boolean begins, long nowUs) {
-        activeFaults.merge(node, begins ? 1 : -1, Integer::sum);
+        activeFaultCounts.merge(node, begins ? 1 : -1, Integer::sum);
         excusedUntilUs.put(node, nowUs + EXCUSED_PERIODS * periodUs);
     }
 
-    /** Sets the incarnation of a node that is up. */
-    public void setLiveIncarnation(int node, String incarnation) {
-        liveIncarnations.put(node, incarnation);
+    /** Records that a node is up, and the key of its current process. */
+    public void setLiveProcess(int node, String processKey) {
+        liveProcessKeys.put(node, processKey);
     }
 
-    /** A node is not up. */
-    public void clearLiveIncarnation(int node) {
-        liveIncarnations.remove(node);
+    /** Records that a node is not up. */
+    public void clearLiveProcess(int node) {
+        liveProcessKeys.remove(node);
     }
 
-    /** A node's process died without leaving the cluster. */
+    /** Records that a node's process exited without leaving the cluster. */
     public void memberDied(int node, long nowUs) {
-        if (liveIncarnations.containsKey(node)) {
-            deaths.put(liveIncarnations.get(node), new Death(node, nowUs));
+        if (liveProcessKeys.containsKey(node)) {
+            deathByProcessKey.put(liveProcessKeys.get(node), new Death(node, nowUs));
         }
-        clearLiveIncarnation(node);
+        clearLiveProcess(node);
     }
 
-    /** Returns all deaths without notice, in order. */
+    /** Returns all exits without leaving the cluster, in order. */
     public List<Death> deaths() {
-        return List.copyOf(deaths.values());
+        return List.copyOf(deathByProcessKey.values());
     }
 
-    /** The view of one process of a node has this line now. */
-    public void viewChanged(long nowUs, int viewer, String viewerIncarnation, Line line) {
-        Line before = lastLines.put(viewer + " " + viewerIncarnation + ">" + line.of() + " " + line.life(), line);
-        if (before != null
-                && !before.isPresent()
+    /** Records that the view of one process of a node now contains this entry. */
+    public void viewChanged(long nowUs, int viewer, String viewerProcessKey, Line line) {
+        Line previousLine = lastLines.put(viewer + " " + viewerProcessKey + ">" + line.of() + " " + line.life(), line);
+        if (previousLine != null
+                && !previousLine.isPresent()
                 && line.isPresent()
-                && (before.state().equals("left") || line.incarnation() <= before.incarnation())) {
+                && (previousLine.state().equals("left") || line.incarnation() <= previousLine.incarnation())) {
             recorder.recordViolation(
                     Invariant.MEMBER_RETURNED,
                     nowUs,
-                    "in the view of node-" + viewer + " node-" + line.of() + " came back by old news: " + before
+                    "in the view of node-" + viewer + " node-" + line.of() + " came back by old news: " + previousLine
                             + " to " + line);
         }
-        boolean isNew = before == null || !before.state().equals(line.state());
-        if (isNew && line.state().equals("failed") && deaths.containsKey(line.life())) {
-            deaths.get(line.life()).recordDetection(nowUs);
+        boolean isNewState = previousLine == null || !previousLine.state().equals(line.state());
+        if (isNewState && line.state().equals("failed") && deathByProcessKey.containsKey(line.life())) {
+            deathByProcessKey.get(line.life()).recordDetection(nowUs);
         }
-        if (isNew
+        if (isNewState
                 && line.state().equals("failed")
-                && line.life().equals(liveIncarnations.get(line.of()))
+                && line.life().equals(liveProcessKeys.get(line.of()))
                 && !isExcused(nowUs, viewer)
                 && !isExcused(nowUs, line.of())) {
             recorder.recordViolation(
@@ -146,29 +157,30 @@
     }
 
     private boolean isExcused(long nowUs, int node) {
-        return activeFaults.getOrDefault(node, 0) > 0 || nowUs < excusedUntilUs.getOrDefault(node, 0L);
+        return activeFaultCounts.getOrDefault(node, 0) > 0 || nowUs < excusedUntilUs.getOrDefault(node, 0L);
     }
 
     /**
-     * Checks at the end that each view has just those members present that are up.
+     * Checks at the end of the run that exactly the members that are up are present in each view.
      *
-     * @param views by node that is up, the nodes that are present in its view
+     * @param presentByViewer for each node that is up, the nodes that are present in its view
      */
-    public void checkAgreement(long nowUs, Map<Integer, Set<Integer>> views) {
-        Set<Integer> up = new TreeSet<>(views.keySet());
-        List<Integer> wrong = views.entrySet().stream()
-                .filter(view -> !view.getValue().equals(up))
+    public void checkAgreement(long nowUs, Map<Integer, Set<Integer>> presentByViewer) {
+        Set<Integer> liveNodes = new TreeSet<>(presentByViewer.keySet());
+        List<Integer> wrongViewers = presentByViewer.entrySet().stream()
+                .filter(view -> !view.getValue().equals(liveNodes))
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
-        if (!wrong.isEmpty()) {
+        if (!wrongViewers.isEmpty()) {
             recorder.recordViolation(
                     Invariant.MEMBERS_AGREE,
                     nowUs,
-                    "up are " + up + ", but node-" + wrong.get(0)
-                            + " holds to be present " + new TreeSet<>(views.get(wrong.get(0))) + "; wrong in "
-                            + wrong.size()
-                            + " views of " + up.size());
+                    "up are " + liveNodes + ", but node-" + wrongViewers.get(0)
+                            + " holds to be present " + new TreeSet<>(presentByViewer.get(wrongViewers.get(0)))
+                            + "; wrong in "
+                            + wrongViewers.size()
+                            + " views of " + liveNodes.size());
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/invariant/NodeExcuses.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/NodeExcuses.java
@@ -9,7 +9,7 @@
 final class NodeExcuses {
     private final Map<Integer, List<Excuse>> excusesByNode = new HashMap<>();
 
-    /** Excuses a node from {@code nowUs} until the excuse is ended. */
+    /** Excuses a node from {@code nowUs} until the returned excuse is ended. */
     Excuse excuse(long nowUs, int node) {
         Excuse excuse = new Excuse(nowUs);
         excusesByNode.computeIfAbsent(node, n -> new ArrayList<>()).add(excuse);
--- a/testbed/src/main/java/tansypass/testbed/invariant/RequestRecord.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/RequestRecord.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** A client's request, kept until it has ended and none of its attempts is in flight. */
+/** A client's request; it is kept until it has ended and none of its attempts is in flight. */
 final class RequestRecord {
     private static final long NOT_ENDED = -1;
 
     final RequestClass requestClass;
     final int node;
-    /** When it should have been sent, in microseconds since the load began. */
+    /** The time at which the request was due, in microseconds since the load began. */
     final long intendedUs;
 
     final long deadlineUs;
     final List<AttemptRecord> attempts = new ArrayList<>(2);
-    /** The bodies that servers produced for it. */
+    /** The bodies of the responses that servers produced for the request. */
     final Set<String> producedBodies = new HashSet<>();
 
     private long endedUs = NOT_ENDED;
@@ -29,7 +29,7 @@
         this.deadlineUs = deadlineUs;
     }
 
-    void end(long nowUs) {
+    void recordEnd(long nowUs) {
         endedUs = nowUs;
     }
 
@@ -45,7 +45,7 @@
         return attempts.stream().anyMatch(attempt -> attempt.isInFlight);
     }
 
-    /** One attempt of a request, as complete as a server received it. */
+    /** One attempt of a request, from the time at which a server received it completely. */
     static final class AttemptRecord {
         private static final long NEVER = -1;
 
@@ -61,8 +61,8 @@
             this.startedUs = startedUs;
         }
 
-        /** Another attempt began while this one was in flight; the first time counts. */
-        void overlap(long nowUs) {
+        /** Records that another attempt began while this one was in flight; only the first time is kept. */
+        void recordOverlap(long nowUs) {
             if (overlappedUs == NEVER) {
                 overlappedUs = nowUs;
             }
--- a/testbed/src/main/java/tansypass/testbed/invariant/TimeTolerance.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/TimeTolerance.java
@@ -1,11 +1,11 @@
 package tansypass.testbed.invariant;
 
-/** By how much events may be late before they count against the product, in microseconds. */
+/** Tolerances, in microseconds, by which events may be late without being a violation. */
 final class TimeTolerance {
-    /** On sockets every time limit is this much longer (PROTOCOL, rules on sockets). */
-    static final long SLACK_US = 50_000;
-    /** A response that is late by up to this much only earns nothing (STANDING). */
-    static final long LATE_US = 500_000;
+    /** The amount by which every time limit is longer on sockets (PROTOCOL, rules on sockets). */
+    static final long TIMING_SLACK_US = 50_000;
+    /** A response that is late by up to this much is worthless but not a violation (STANDING). */
+    static final long LATE_RESPONSE_TOLERANCE_US = 500_000;
 
     private TimeTolerance() {}
 }
--- a/testbed/src/main/java/tansypass/testbed/invariant/TraceDigest.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/TraceDigest.java
@@ -7,12 +7,12 @@
 import java.util.HexFormat;
 
 /**
- * A running SHA-256 digest of the events of a run: equal events in equal order give equal hashes. Not
- * thread-safe.
+ * A SHA-256 digest of the events of a run, updated with each event. The same events in the same order give the same
+ * hash. Not thread-safe.
  */
 public final class TraceDigest {
     private final MessageDigest digest = newDigest();
-    private final ByteBuffer buffer = ByteBuffer.allocate(Long.BYTES);
+    private final ByteBuffer longBuffer = ByteBuffer.allocate(Long.BYTES);
 
     private static MessageDigest newDigest() {
         try {
@@ -24,12 +24,12 @@
 
     /** Adds the eight bytes of a number, most significant first. */
     public void addLong(long value) {
-        digest.update(buffer.clear().putLong(value).flip());
+        digest.update(longBuffer.clear().putLong(value).flip());
     }
 
     /** Adds the four bytes of a number, most significant first. */
     public void addInt(int value) {
-        digest.update(buffer.clear().putInt(value).flip());
+        digest.update(longBuffer.clear().putInt(value).flip());
     }
 
     /** Adds a text in UTF-8, without its length. */
@@ -37,7 +37,7 @@
         digest.update(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns the first eight bytes of the digest so far, as 16 hexadecimal digits; more may be added. */
+    /** Returns the first eight bytes of the digest so far as 16 hexadecimal digits; more data may be added later. */
     public String hash() {
         try {
             MessageDigest soFar = (MessageDigest) digest.clone();
--- a/testbed/src/main/java/tansypass/testbed/invariant/Violation.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/Violation.java
@@ -1,10 +1,10 @@
 package tansypass.testbed.invariant;
 
 /**
- * An invariant that did not hold.
+ * A violation of an invariant.
  *
- * @param atUs time since the load began
- * @param description what happened, with the request or process it happened to
+ * @param atUs the time since the load began, in microseconds
+ * @param description what happened, with the name of the request or process concerned
  */
 public record Violation(Invariant invariant, long atUs, String description) {
     @Override
--- a/testbed/src/main/java/tansypass/testbed/invariant/ViolationRecorder.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/ViolationRecorder.java
@@ -4,14 +4,14 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The trace of a run's events and the violations among them. Not thread-safe. */
+/** Records the trace of a run's events, which includes violations, and keeps the first violations. Not thread-safe. */
 final class ViolationRecorder {
-    /** How many violations are kept; later ones are only counted. */
+    /** The number of violations that are kept; later ones are only counted. */
     private static final int MAX_VIOLATIONS = 100;
 
     private final TraceDigest trace = new TraceDigest();
     private final List<Violation> violations = new ArrayList<>();
-    private int count;
+    private int violationCount;
 
     /** Adds an event to the trace. */
     void trace(long nowUs, String event, String subject, long detail) {
@@ -21,26 +21,26 @@
         trace.addLong(detail);
     }
 
-    /** Records a violation. Recorded traces hold the descriptions: changing one changes their hashes. */
+    /** Records a violation. Its description is part of the trace, so a changed description changes recorded hashes. */
     void recordViolation(Invariant invariant, long nowUs, String description) {
-        count++;
+        violationCount++;
         trace(nowUs, "breach " + invariant, description, 0);
         if (violations.size() < MAX_VIOLATIONS) {
             violations.add(new Violation(invariant, nowUs, description));
         }
     }
 
-    /** Returns the first violations in order, 100 at most. */
+    /** Returns the violations in order; only the first 100 are kept. */
     List<Violation> violations() {
         return Collections.unmodifiableList(violations);
     }
 
-    /** Returns how many violations there were, including those not kept. */
+    /** Returns the number of violations, including those that were not kept. */
     int violationCount() {
-        return count;
+        return violationCount;
     }
 
-    /** Returns a hash that is equal for equal events in equal order. */
+    /** Returns a hash of the trace: two runs with the same events in the same order have the same hash. */
     String traceHash() {
         return trace.hash();
     }
--- a/testbed/src/main/java/tansypass/testbed/invariant/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checks of what has to hold in every run, on the events that a run reports, with its statistics and the hash of
- * its trace. Does not depend on how a run is made.
+ * Checks invariants on the events that a run reports, and collects the statistics of the run and the hash of its
+ * trace. The package is the same for runs in virtual time and on real processes.
  */
 package tansypass.testbed.invariant;
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
@@ -13,10 +13,10 @@
 /**
  * A node's membership view, as its view page shows it.
  *
- * @param ownIncarnation the incarnation of the node's current process, as the node itself lists it
+ * @param ownProcessKey the key of the node's current process: its generation and nonce, as the node itself lists them
  * @param unchangedUsByLine the entries of the view, and for how many microseconds each has not changed
  */
-record MembershipSnapshot(String ownIncarnation, Map<Line, Long> unchangedUsByLine) {
+record MembershipSnapshot(String ownProcessKey, Map<Line, Long> unchangedUsByLine) {
 
     /** Returns the numbers of the members that are present in this view. */
     Set<Integer> presentMembers() {
@@ -29,23 +29,23 @@
     /** Parses the view page of the node with this number. */
     static MembershipSnapshot parse(int nodeNumber, String body) {
         Map<Line, Long> unchangedUsByLine = new LinkedHashMap<>();
-        String ownIncarnation = "";
+        String ownProcessKey = "";
         for (JsonElement element :
                 JsonParser.parseString(body).getAsJsonObject().getAsJsonArray("members")) {
             JsonObject member = element.getAsJsonObject();
             String name = member.get("name").getAsString();
             int memberNumber = ProcessNames.numberOf(name);
-            String incarnation =
+            String processKey =
                     member.get("gen").getAsString() + "." + member.get("nonce").getAsString();
             unchangedUsByLine.put(
                     new Line(
                             memberNumber,
-                            incarnation,
+                            processKey,
                             member.get("state").getAsString(),
                             member.get("inc").getAsLong()),
                     member.get("for_ms").getAsLong() * 1_000);
-            ownIncarnation = memberNumber == nodeNumber ? incarnation : ownIncarnation;
+            ownProcessKey = memberNumber == nodeNumber ? processKey : ownProcessKey;
         }
-        return new MembershipSnapshot(ownIncarnation, unchangedUsByLine);
+        return new MembershipSnapshot(ownProcessKey, unchangedUsByLine);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -143,11 +143,11 @@
 
     private void checkView(MembershipInvariantChecker members, MembershipSnapshot view) {
         if (!isEndedByFault) {
-            members.setLiveIncarnation(number(), view.ownIncarnation());
+            members.setLiveProcess(number(), view.ownProcessKey());
         }
         // Each line has the time since its last change, so the time of a change is exact although polls are rare.
         view.unchangedUsByLine()
-                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), view.ownIncarnation(), line));
+                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), view.ownProcessKey(), line));
     }
 
     private void handleProcessEnd() {
@@ -184,7 +184,7 @@
     @Override
     public void terminate() {
         isEndedByFault = true;
-        checker.membershipChecker().ifPresent(members -> members.clearLiveIncarnation(number()));
+        checker.membershipChecker().ifPresent(members -> members.clearLiveProcess(number()));
         process.terminate();
         enforceTermination();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -137,7 +137,7 @@
 
     private void reportProgress(long second, Map<End, Long> previousCounts) {
         context.scheduler.after(second * US_PER_SECOND - context.clock.nowUs(), () -> {
-            Map<End, Long> counts = checker.statistics().counts();
+            Map<End, Long> counts = checker.statistics().endCounts();
             Map<End, Long> endsInSecond = new EnumMap<>(counts);
             endsInSecond.replaceAll((end, count) -> count - previousCounts.getOrDefault(end, 0L));
             List<Boolean> ready =
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -72,7 +72,7 @@
     void start(int number) {
         int seeds = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
         cluster.start(number, IntStream.range(0, seeds).boxed().toList(), 0, DEPLOYMENT);
-        checker.setLiveIncarnation(number, incarnationOf(number));
+        checker.setLiveProcess(number, incarnationOf(number));
     }
 
     void pause(int number, boolean on) {
@@ -81,7 +81,7 @@
 
     void leave(int number) {
         cluster.leave(number);
-        checker.clearLiveIncarnation(number);
+        checker.clearLiveProcess(number);
     }
 
     void kill(int number) {
--- a/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
@@ -10,9 +10,9 @@
 import tansypass.testbed.TestScenarios;
 import tansypass.testbed.invariant.MembershipInvariantChecker.Line;
 
-/** Each invariant of membership views, with events that violate it. */
+/** Tests each invariant of membership views with events that violate it. */
 class MembershipInvariantCheckerTest {
-    private static final long S = 1_000_000;
+    private static final long US_PER_SECOND = 1_000_000;
 
     private final InvariantChecker checker =
             new InvariantChecker(TestScenarios.of(TestScenarios.SMALL.replace("[clients]", "[fleet]\n[clients]")));
@@ -21,12 +21,12 @@
 
     @BeforeEach
     void startMembers() {
-        members.setLiveIncarnation(0, "a");
-        members.setLiveIncarnation(1, "b");
+        members.setLiveProcess(0, "a");
+        members.setLiveProcess(1, "b");
     }
 
-    private void changeView(long nowUs, String life, String state, long incarnation) {
-        members.viewChanged(nowUs, 0, "a", new Line(1, life, state, incarnation));
+    private void changeView(long nowUs, String processKey, String state, long incarnation) {
+        members.viewChanged(nowUs, 0, "a", new Line(1, processKey, state, incarnation));
     }
 
     private void assertViolations(Invariant... invariants) {
@@ -49,24 +49,24 @@
     @Test
     void excusesFailureDuringAndShortlyAfterFault() {
         members.faultChanged(1, true, 0);
-        changeView(S, "b", "failed", 0);
-        members.faultChanged(1, false, 2 * S);
-        changeView(2 * S, "b", "alive", 1);
-        changeView(20 * S, "b", "failed", 1);
+        changeView(US_PER_SECOND, "b", "failed", 0);
+        members.faultChanged(1, false, 2 * US_PER_SECOND);
+        changeView(2 * US_PER_SECOND, "b", "alive", 1);
+        changeView(20 * US_PER_SECOND, "b", "failed", 1);
         assertViolations();
-        changeView(40 * S, "b", "alive", 2);
-        changeView(41 * S, "b", "failed", 2);
+        changeView(40 * US_PER_SECOND, "b", "alive", 2);
+        changeView(41 * US_PER_SECOND, "b", "failed", 2);
         assertViolations(Invariant.MEMBER_FAILED);
     }
 
     @Test
     void measuresDetectionTimeOfEarlierIncarnation() {
         changeView(0, "b", "alive", 0);
-        members.memberDied(1, S);
-        members.setLiveIncarnation(1, "c");
-        changeView(3 * S, "b", "failed", 0);
+        members.memberDied(1, US_PER_SECOND);
+        members.setLiveProcess(1, "c");
+        changeView(3 * US_PER_SECOND, "b", "failed", 0);
         assertViolations();
-        assertEquals(2 * S, members.deaths().get(0).lastDetectionUs());
+        assertEquals(2 * US_PER_SECOND, members.deaths().get(0).lastDetectionUs());
     }
 
     @Test
@@ -85,9 +85,9 @@
 
     @Test
     void reportsViewsThatDifferFromRunningMembers() {
-        members.checkAgreement(S, Map.of(0, Set.of(0, 1), 1, Set.of(0, 1)));
+        members.checkAgreement(US_PER_SECOND, Map.of(0, Set.of(0, 1), 1, Set.of(0, 1)));
         assertViolations();
-        members.checkAgreement(S, Map.of(0, Set.of(0, 1, 2), 1, Set.of(0, 1)));
+        members.checkAgreement(US_PER_SECOND, Map.of(0, Set.of(0, 1, 2), 1, Set.of(0, 1)));
         assertViolations(Invariant.MEMBERS_AGREE);
     }
 }
