--- a/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
@@ -68,8 +68,8 @@
                 cold = "%dus"
                 """.formatted(
                         nodes.count(),
-                        TomlFragments.quoted(nodes.zones()),
-                        TomlFragments.nodeSettings(nodes),
+                        TomlFragments.joinQuoted(nodes.zones()),
+                        TomlFragments.nodeLines(nodes),
                         servers.idleTimeoutUs(),
                         servers.slowStartFactor(),
                         servers.slowStartUs());
@@ -93,10 +93,11 @@
                 deployment = "rig"
                 seeds = [%s]
                 %s""".formatted(
-                Channels.formatAddress(listen),
-                Channels.formatAddress(advertise),
-                TomlFragments.quoted(seeds.stream().map(Channels::formatAddress).toList()),
-                TomlFragments.probeTiming(cluster));
+                        Channels.formatAddress(listen),
+                        Channels.formatAddress(advertise),
+                        TomlFragments.joinQuoted(
+                                seeds.stream().map(Channels::formatAddress).toList()),
+                        TomlFragments.probeTimingLines(cluster));
     }
 
     private static String requestClassSection(RequestClass requestClass) {
@@ -104,6 +105,8 @@
                 [[classes]]
                 name = "%s"
                 %s%s""".formatted(
-                requestClass.name(), TomlFragments.idempotency(requestClass), TomlFragments.latency(requestClass));
+                        requestClass.name(),
+                        TomlFragments.idempotencyLines(requestClass),
+                        TomlFragments.latencyLines(requestClass));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/Scenario.java
@@ -5,10 +5,12 @@
 import tansypass.config.NodeFile.Idempotency;
 
 /**
- * What is run: nodes, servers, links, load and faults. Times are microseconds.
+ * The description of a run: nodes, servers, links, load and faults. Times are microseconds.
  *
- * @param lengthUs for how long requests come
- * @param settleUs how long requests may take to end after it; one that is open then counts as never answered
+ * @param lengthUs the duration of the load
+ * @param settleUs the time after the load in which requests may still end; a request that is open afterwards counts as
+ *     never answered
+ * @param cluster the settings of the membership protocol; null if the nodes are not members of a cluster
  */
 public record Scenario(
         String name,
@@ -21,10 +23,19 @@
         Cluster cluster,
         List<RequestClass> classes,
         List<Fault> faults) {
-    /** How many of the first nodes others join the cluster through. */
+    /** The number of nodes, from the first, through which the other nodes join the cluster. */
     public static final int SEED_MEMBERS = 3;
 
-    /** The nodes; zones are taken in turn. */
+    /**
+     * The settings of the nodes, which are all alike.
+     *
+     * @param zones the zones, to which nodes and servers are assigned in turn
+     * @param maxAttempts the largest number of attempts of a request
+     * @param hedging whether a request may have two attempts in flight
+     * @param cancellation whether attempts may be cancelled
+     * @param retryAfterUs the longest Retry-After of a rejection; 0 for none
+     * @param drainGraceUs how long after a server starts to drain requests may still be sent to it
+     */
     public record Nodes(
             int count,
             List<String> zones,
@@ -37,14 +48,17 @@
             String logLevel) {}
 
     /**
-     * The web servers, all alike; zones are taken in turn.
+     * The settings of the web servers, which are all alike. Servers are assigned to the zones in turn.
      *
-     * @param maxQueued how many requests may wait
-     * @param slowStartFactor the share of its speed with which one starts, which grows evenly to 1 over {@code slowStartUs}
-     * @param handshakeWorkUs work that a new connection costs
-     * @param maxConnections how many it accepts at most
-     * @param idleTimeoutUs it closes a connection that has been idle for so long
-     * @param sendsLoadReports whether answers carry a load report
+     * @param cores the number of requests that a server executes at the same time
+     * @param maxQueued the largest number of queued requests of a server
+     * @param slowStartFactor the part of its speed, 0 to 1, with which a server starts; it increases linearly to 1 over
+     *     {@code slowStartUs}
+     * @param handshakeWorkUs the additional work of the first request on a connection
+     * @param maxConnections the largest number of connections that a server accepts
+     * @param idleTimeoutUs the time after which a server closes an idle connection
+     * @param serversPerCell the number of servers in a cell, which is one of the scopes of deduplication
+     * @param sendsLoadReports whether responses have a load report
      */
     public record Servers(
             int count,
@@ -59,25 +73,37 @@
             boolean sendsLoadReports) {}
 
     /**
-     * The clients, in an open loop: requests come whether or not earlier ones have ended.
+     * The clients. The load is an open loop: requests are sent whether or not earlier ones have ended.
      *
-     * @param requestsPerS requests a second
-     * @param failureDetectionUs until the client load balancer detects that a node has died
-     * @param maxOpenRequests requests open at once; past it a request is not sent
+     * @param requestsPerS the mean number of requests per second
+     * @param failureDetectionUs the time in which the clients' load balancer detects that a node has died
+     * @param maxOpenRequests the largest number of open requests; further requests are not sent
      */
     public record Clients(double requestsPerS, long failureDetectionUs, int maxOpenRequests) {}
 
-    /** Delays of one way between two processes of one zone, and of two. */
+    /**
+     * The delays of the links in one direction.
+     *
+     * @param sameZoneUs the delay between two processes in the same zone
+     * @param crossZoneUs the delay between two processes in different zones
+     */
     public record LinkDelays(long sameZoneUs, long crossZoneUs) {}
 
-    /** The nodes' membership protocol; null in a scenario whose nodes are no members of a cluster. */
+    /**
+     * The settings of the nodes' membership protocol.
+     *
+     * @param periodUs the protocol period, in which a member probes one other member
+     * @param probeTimeoutUs the time after which a probe without a response is repeated through other members
+     */
     public record Cluster(long periodUs, long probeTimeoutUs) {}
 
     /**
      * A class of requests.
      *
-     * @param share of the requests, relative to the shares of other classes
-     * @param meanWorkUs mean work on one core of a server; drawn exponentially
+     * @param share the share of the requests, relative to the shares of other classes
+     * @param deduplicationWindowUs the time for which servers remember idempotency keys
+     * @param meanWorkUs the mean of the work on one core of a server, which is exponentially distributed
+     * @param latencyObjectiveUs the latency up to which a response has its full value
      */
     public record RequestClass(
             String name,
@@ -89,64 +115,70 @@
             long latencyObjectiveUs,
             long deadlineUs) {}
 
-    /** What a fault does. The order and names of the constants are part of files and of random schedules. */
+    /**
+     * The kinds of faults. Files contain the names of the constants, and random schedules depend on their order. The
+     * constants refer to the fault's components {@code amount} and {@code timeUs}.
+     */
     public enum Kind {
-        /** SIGKILL; the process starts again when the fault ends. */
+        /** Sends SIGKILL to the process, which is started again when the fault ends. */
         KILL,
-        /** SIGTERM; the process starts again when the fault ends. */
+        /** Sends SIGTERM to the process, which is started again when the fault ends. */
         TERM,
-        /** SIGSTOP, and SIGCONT when the fault ends. */
+        /** Sends SIGSTOP to the process, and SIGCONT when the fault ends. */
         PAUSE,
-        /** A server is draining: the endpoint list says so, and it rejects new requests. */
+        /** A server is draining: it is listed as draining, and it rejects new requests. */
         DRAIN,
-        /** A server runs at {@code amount} of its speed. */
+        /** A server runs at the fraction {@code amount} of its speed. */
         CHOKE,
         /** A server sends no response. */
         HANG,
-        /** A server answers this share of requests with an error. */
+        /** A server answers the fraction {@code amount} of requests with an error. */
         ERRORS,
-        /** Discovery sends nothing. */
+        /** Discovery agents send nothing. */
         SILENCE,
-        /** A link passes nothing on and says nothing. */
+        /** A link delivers nothing, and reports no error. */
         CUT,
-        /** A link takes longer, by {@code time}. */
+        /** The delay of a link is longer by {@code timeUs}. */
         DELAY,
-        /** A link takes longer, by up to {@code time}, drawn anew for each piece. */
+        /** The delay of a link is longer by up to {@code timeUs}, drawn at random for each chunk or datagram. */
         JITTER,
-        /** A link passes so many bytes a second. */
+        /** A link transfers at most {@code amount} bytes per second. */
         RATE,
-        /** A link resets its connections, and new ones at once. */
+        /** A link resets its open connections, and each new one as soon as it is opened. */
         RESET,
-        /** A link loses this share of pieces; a stream's are sent again, and come late. */
+        /**
+         * A link loses the fraction {@code amount} of chunks and datagrams. Lost chunks of a stream are retransmitted,
+         * so they arrive late.
+         */
         LOSS,
-        /** The end of a connection is not forwarded: the other side keeps it open. */
+        /** A link does not forward the end of a connection, so the other side keeps the connection open. */
         HALF_OPEN,
-        /** Of the links between nodes: this share of datagrams comes twice. */
+        /** A link between nodes delivers the fraction {@code amount} of datagrams twice. */
         DUPLICATE,
         /**
-         * Of the links between nodes: this share of datagrams takes longer, by {@code time}, and is
-         * overtaken.
+         * A link between nodes delays the fraction {@code amount} of datagrams by {@code timeUs}, so that later
+         * datagrams overtake them.
          */
         REORDER;
 
-        /** Returns whether it is a fault of a link and not of a process. */
+        /** Returns whether this is a fault of a link, not of a process. */
         public boolean isLinkFault() {
             return compareTo(CUT) >= 0;
         }
 
-        /** Returns whether it affects datagrams only. */
+        /** Returns whether this kind of fault affects only datagrams. */
         public boolean affectsOnlyDatagrams() {
             return compareTo(DUPLICATE) >= 0;
         }
     }
 
-    /** The directions of a link that a fault is on: from the first one named to the second, back, or both. */
+    /** The directions of a link that a fault affects: from its first target to the second, back, or both. */
     public enum FaultDirection {
         BOTH,
         THERE,
         BACK;
 
-        /** Returns the same directions as seen from the other end of the link. */
+        /** Returns the same direction as seen from the other end of the link. */
         public FaultDirection reversed() {
             return switch (this) {
                 case THERE -> BACK;
@@ -157,9 +189,13 @@
     }
 
     /**
-     * One fault.
+     * A fault of a process or of a link.
      *
-     * @param targets the process, or the two ends of the link, each a name, or a group such as {@code node-*}
+     * @param startUs the start of the fault, since the load began
+     * @param targets the name of the process, or of the two ends of the link; each is the name of one process, or of a
+     *     group such as {@code node-*}
+     * @param amount the kind's parameter: a fraction from 0 to 1, or bytes per second for {@link Kind#RATE}
+     * @param timeUs the additional delay of the kinds that delay
      */
     public record Fault(
             Kind kind,
@@ -170,19 +206,19 @@
             double amount,
             long timeUs) {
 
-        /** Returns the same fault on other directions of its link. */
+        /** Returns the same fault in another direction of its link. */
         public Fault withDirection(FaultDirection newDirection) {
             return new Fault(kind, startUs, durationUs, targets, newDirection, amount, timeUs);
         }
 
-        /** Returns whether it is on the link between two nodes. */
+        /** Returns whether the fault affects the link between two nodes. */
         public boolean isBetweenNodes() {
             return targets.size() == 2
                     && targets.get(0).startsWith("node")
                     && targets.get(1).startsWith("node");
         }
 
-        /** Returns kind, target and times for people. */
+        /** Returns kind, targets and times as a text for operators. */
         @Override
         public String toString() {
             return kind.name().toLowerCase(java.util.Locale.ROOT) + " " + String.join("><", targets) + " at "
@@ -195,12 +231,12 @@
         return nodes.zones.get(number % nodes.zones.size());
     }
 
-    /** Returns the delay one way between a node and a server, in microseconds. */
+    /** Returns the delay in one direction between a node and a server, in microseconds. */
     public long linkDelayUs(int node, int server) {
         return zone(node).equals(zone(server)) ? linkDelays.sameZoneUs : linkDelays.crossZoneUs;
     }
 
-    /** Returns the longest deadline of all classes, in microseconds; 0 if there is no class. */
+    /** Returns the longest deadline of all classes, in microseconds; 0 if there are no classes. */
     public long longestDeadlineUs() {
         return classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
--- a/testbed/src/main/java/tansypass/testbed/scenario/ScenarioToml.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/ScenarioToml.java
@@ -4,23 +4,25 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** Writes a scenario in the form that {@link ScenarioFile} reads. */
+/** Formats a scenario as a file that {@link ScenarioFile} can read. */
 public final class ScenarioToml {
     private ScenarioToml() {}
 
-    /** Returns the complete file. */
+    /** Returns the text of the complete file. */
     public static String of(Scenario scenario) {
-        return general(scenario)
-                + nodes(scenario.nodes())
-                + servers(scenario.servers())
-                + clients(scenario.clients())
-                + network(scenario.linkDelays())
-                + cluster(scenario)
-                + scenario.classes().stream().map(ScenarioToml::requestClass).collect(Collectors.joining())
-                + scenario.faults().stream().map(ScenarioToml::fault).collect(Collectors.joining());
+        return generalKeys(scenario)
+                + nodesSection(scenario.nodes())
+                + serversSection(scenario.servers())
+                + clientsSection(scenario.clients())
+                + linkDelaysSection(scenario.linkDelays())
+                + clusterSection(scenario)
+                + scenario.classes().stream()
+                        .map(ScenarioToml::requestClassSection)
+                        .collect(Collectors.joining())
+                + scenario.faults().stream().map(ScenarioToml::faultSection).collect(Collectors.joining());
     }
 
-    private static String general(Scenario scenario) {
+    private static String generalKeys(Scenario scenario) {
         return """
                 name = "%s"
                 length = "%dus"
@@ -28,7 +30,7 @@
                 """.formatted(scenario.name(), scenario.lengthUs(), scenario.settleUs());
     }
 
-    private static String nodes(Scenario.Nodes nodes) {
+    private static String nodesSection(Scenario.Nodes nodes) {
         return """
 
                 [nodes]
@@ -37,12 +39,12 @@
                 %slog = "%s"
                 """.formatted(
                         nodes.count(),
-                        TomlFragments.quoted(nodes.zones()),
-                        TomlFragments.nodeSettings(nodes),
+                        TomlFragments.joinQuoted(nodes.zones()),
+                        TomlFragments.nodeLines(nodes),
                         nodes.logLevel());
     }
 
-    private static String servers(Scenario.Servers servers) {
+    private static String serversSection(Scenario.Servers servers) {
         return """
 
                 [servers]
@@ -69,7 +71,7 @@
                         servers.sendsLoadReports());
     }
 
-    private static String clients(Scenario.Clients clients) {
+    private static String clientsSection(Scenario.Clients clients) {
         return """
 
                 [clients]
@@ -79,23 +81,23 @@
                 """.formatted(clients.requestsPerS(), clients.failureDetectionUs(), clients.maxOpenRequests());
     }
 
-    private static String network(Scenario.LinkDelays network) {
+    private static String linkDelaysSection(Scenario.LinkDelays linkDelays) {
         return """
 
                 [net]
                 same = "%dus"
                 cross = "%dus"
-                """.formatted(network.sameZoneUs(), network.crossZoneUs());
+                """.formatted(linkDelays.sameZoneUs(), linkDelays.crossZoneUs());
     }
 
-    private static String cluster(Scenario scenario) {
+    private static String clusterSection(Scenario scenario) {
         if (scenario.cluster() == null) {
             return "";
         }
-        return "\n[fleet]\n" + TomlFragments.probeTiming(scenario.cluster());
+        return "\n[fleet]\n" + TomlFragments.probeTimingLines(scenario.cluster());
     }
 
-    private static String requestClass(RequestClass requestClass) {
+    private static String requestClassSection(RequestClass requestClass) {
         return """
 
                 [[classes]]
@@ -105,12 +107,12 @@
                 %s""".formatted(
                         requestClass.name(),
                         requestClass.share(),
-                        TomlFragments.idempotency(requestClass),
+                        TomlFragments.idempotencyLines(requestClass),
                         requestClass.meanWorkUs(),
-                        TomlFragments.latency(requestClass));
+                        TomlFragments.latencyLines(requestClass));
     }
 
-    private static String fault(Fault fault) {
+    private static String faultSection(Fault fault) {
         return """
 
                 [[faults]]
@@ -122,11 +124,11 @@
                 amount = %s
                 time = "%dus"
                 """.formatted(
-                        TomlFragments.nameOf(fault.kind()),
-                        TomlFragments.quoted(fault.targets()),
+                        TomlFragments.tomlName(fault.kind()),
+                        TomlFragments.joinQuoted(fault.targets()),
                         fault.startUs(),
                         fault.durationUs(),
-                        TomlFragments.nameOf(fault.direction()),
+                        TomlFragments.tomlName(fault.direction()),
                         fault.amount(),
                         fault.timeUs());
     }
--- a/testbed/src/main/java/tansypass/testbed/scenario/TomlFragments.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/TomlFragments.java
@@ -5,12 +5,12 @@
 import java.util.stream.Collectors;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** Formats the settings that scenario files and the configuration files of nodes have in common. */
+/** Formats the settings that are the same in scenario files and in the configuration files of nodes. */
 public final class TomlFragments {
     private TomlFragments() {}
 
-    /** Returns the lines of the settings of nodes. */
-    public static String nodeSettings(Scenario.Nodes nodes) {
+    /** Returns the lines with the settings of nodes. */
+    public static String nodeLines(Scenario.Nodes nodes) {
         return """
                 attempts = %d
                 second_copies = %s
@@ -27,41 +27,41 @@
                         nodes.drainGraceUs());
     }
 
-    /** Returns the lines of the times of the membership protocol. */
-    public static String probeTiming(Scenario.Cluster cluster) {
+    /** Returns the lines with the probe timing of the membership protocol. */
+    public static String probeTimingLines(Scenario.Cluster cluster) {
         return """
                 period = "%dus"
                 probe = "%dus"
                 """.formatted(cluster.periodUs(), cluster.probeTimeoutUs());
     }
 
-    /** Returns the lines of a request class that say whether and where a request may be repeated. */
-    public static String idempotency(RequestClass requestClass) {
+    /** Returns the lines of a request class with its idempotency and the scope and window of deduplication. */
+    public static String idempotencyLines(RequestClass requestClass) {
         return """
                 repeat = "%s"
                 group = "%s"
                 window = "%dus"
                 """.formatted(
-                        nameOf(requestClass.idempotency()),
-                        nameOf(requestClass.deduplicationScope()),
+                        tomlName(requestClass.idempotency()),
+                        tomlName(requestClass.deduplicationScope()),
                         requestClass.deduplicationWindowUs());
     }
 
     /** Returns the lines of a request class with its latency objective and deadline. */
-    public static String latency(RequestClass requestClass) {
+    public static String latencyLines(RequestClass requestClass) {
         return """
                 aim = "%dus"
                 deadline = "%dus"
                 """.formatted(requestClass.latencyObjectiveUs(), requestClass.deadlineUs());
     }
 
-    /** Returns the elements of an array of strings. */
-    public static String quoted(List<String> texts) {
+    /** Returns the elements of a TOML array of strings, without its brackets. */
+    public static String joinQuoted(List<String> texts) {
         return texts.stream().map(text -> '"' + text + '"').collect(Collectors.joining(", "));
     }
 
-    /** Returns the name of a constant as files have it, such as {@code half-open}. */
-    static String nameOf(Enum<?> constant) {
+    /** Returns the name of a constant in the form of the files, such as {@code half-open}. */
+    static String tomlName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/scenario/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scenarios: the nodes, servers, load and faults of a run, as records, and their files. Parsing reports every error
- * with its line; no class here has threads or sockets.
+ * Scenarios describe the nodes, servers, load and faults of a run. The package has their records, and reads and writes
+ * their files; it reports each error in a file with its line. It uses no threads or sockets.
  */
 package tansypass.testbed.scenario;
--- a/testbed/src/test/java/tansypass/testbed/TestScenarios.java
+++ b/testbed/src/test/java/tansypass/testbed/TestScenarios.java
@@ -32,7 +32,7 @@
 
     private TestScenarios() {}
 
-    /** Parses a scenario, which has to be valid. */
+    /** Parses the text of a valid scenario. */
     public static Scenario of(String text) {
         try {
             return ScenarioFile.parse(text, "world");
@@ -41,10 +41,10 @@
         }
     }
 
-    /** Returns the lines of a fault, which can be added at the end of a scenario. */
-    public static String fault(String kind, String on, String at, String lasts, String more) {
-        return "[[faults]]\nkind = \"" + kind + "\"\non = [" + on + "]\nat = \"" + at + "\"\nlasts = \""
-                + lasts
-                + "\"\n" + more + "\n";
+    /** Returns the lines of a fault, to be appended to the text of a scenario. */
+    public static String fault(String kind, String targets, String start, String duration, String furtherKeys) {
+        return "[[faults]]\nkind = \"" + kind + "\"\non = [" + targets + "]\nat = \"" + start + "\"\nlasts = \""
+                + duration
+                + "\"\n" + furtherKeys + "\n";
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
+++ b/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
@@ -10,11 +10,13 @@
 
 class ScenarioFileTest {
 
-    private static List<String> faults(String more) {
-        return assertThrows(InvalidConfigException.class, () -> ScenarioFile.parse(TestScenarios.SMALL + more, "world"))
+    private static List<String> errorsOf(String faultLines) {
+        return assertThrows(
+                        InvalidConfigException.class,
+                        () -> ScenarioFile.parse(TestScenarios.SMALL + faultLines, "world"))
                 .errors()
                 .stream()
-                .map(f -> f.line() + " " + f.key() + ": " + f.problem())
+                .map(error -> error.line() + " " + error.key() + ": " + error.problem())
                 .toList();
     }
 
@@ -24,16 +26,16 @@
                 List.of("23 faults[0].on: this kind of fault can't be on server-0; links are from node"
                         + " to"
                         + " server or node, or from clients to node"),
-                faults(TestScenarios.fault("term", "\"server-0\"", "1s", "1s", "")));
+                errorsOf(TestScenarios.fault("term", "\"server-0\"", "1s", "1s", "")));
         assertEquals(
                 List.of("23 faults[0].on: \"server-9\" is not there: they are numbered 0 to 3"),
-                faults(TestScenarios.fault("kill", "\"server-9\"", "1s", "1s", "")));
+                errorsOf(TestScenarios.fault("kill", "\"server-9\"", "1s", "1s", "")));
         assertEquals(
                 List.of("23 faults[0].on: a fault of a link needs its two ends"),
-                faults(TestScenarios.fault("cut", "\"node-0\"", "1s", "1s", "")));
+                errorsOf(TestScenarios.fault("cut", "\"node-0\"", "1s", "1s", "")));
         assertEquals(
                 List.of("23 faults[0].on: is a link between nodes, which need [fleet] to have one"),
-                faults(TestScenarios.fault("cut", "\"node-0\", \"node-1\"", "1s", "1s", "")));
+                errorsOf(TestScenarios.fault("cut", "\"node-0\", \"node-1\"", "1s", "1s", "")));
     }
 
     @Test
@@ -48,6 +50,6 @@
                                 + " node-*,"
                                 + " server-*, clients or discovery",
                         "26 faults[0].amuont: is not known; allowed here: kind, on, at, lasts, way, amount, time"),
-                faults(TestScenarios.fault("burn", "\"nobody\"", "1s", "1s", "amuont = 1.0")));
+                errorsOf(TestScenarios.fault("burn", "\"nobody\"", "1s", "1s", "amuont = 1.0")));
     }
 }
