--- a/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
@@ -25,13 +25,16 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * All-to-all heartbeats, the baseline that the product's membership is compared to: each member sends every
- * other one a heartbeat a period, and a member without a heartbeat for some periods has failed. There are no
- * indirect probes and no gossip. Times are microseconds. All calls come from the scheduler's thread.
+ * All-to-all heartbeats, the baseline for measurements of the product's membership protocol. Each member sends a
+ * heartbeat to every other member once per period. A member that sends none for some periods is declared failed. There
+ * are no indirect probes and no gossip. Times are microseconds. All calls must come from the scheduler's thread.
  */
 public final class HeartbeatProtocol implements Membership {
-    /** After so many periods without a heartbeat: about as soon as the product detects a failure among 50. */
-    private static final double FAILURE_PERIODS = 4;
+    /**
+     * The number of periods without a heartbeat after which a member is declared failed. This takes about as long as
+     * the product takes to detect a failure among 50 members.
+     */
+    private static final double FAILURE_TIMEOUT_PERIODS = 4;
 
     private final MembershipSettings settings;
     private final Identity self;
@@ -44,7 +47,7 @@
     private final MembershipCounters counters = new MembershipCounters();
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Long> lastHeartbeatUs = new HashMap<>();
-    private long version;
+    private long viewVersion;
     private boolean isStopped;
 
     /** Creates a member that has not started. */
@@ -97,7 +100,7 @@
     private void sendHeartbeats() {
         byte[] heartbeat = codec.encode(new Message.Gossip(envelope(List.of())));
         for (Member member : List.copyOf(members.values())) {
-            // Failed members too: they may be alive behind a partition that has healed.
+            // Heartbeats go to failed members too: they may be alive and reachable again after a partition has healed.
             if (!member.identity().name().equals(self.name()) && member.state() != MemberState.LEFT) {
                 network.send(member.identity().address(), heartbeat);
             }
@@ -105,21 +108,21 @@
     }
 
     private void detectFailures() {
-        double timeoutUs = FAILURE_PERIODS * settings.periodUs();
+        double timeoutUs = FAILURE_TIMEOUT_PERIODS * settings.periodUs();
         lastHeartbeatUs.forEach((name, atUs) -> {
             Member member = members.get(name);
             if (member.isPresent() && scheduler.nowUs() - atUs > timeoutUs) {
                 counters.increment(Name.FAILED);
-                put(member.withState(MemberState.FAILED, member.incarnation(), ""));
+                updateMember(member.withState(MemberState.FAILED, member.incarnation(), ""));
             }
         });
     }
 
-    private void put(Member member) {
-        Optional<Member> before =
+    private void updateMember(Member member) {
+        Optional<Member> previousEntry =
                 Optional.ofNullable(members.put(member.identity().name(), member));
-        version++;
-        listener.onUpdate(before, member);
+        viewVersion++;
+        listener.onUpdate(previousEntry, member);
     }
 
     @Override
@@ -142,15 +145,16 @@
 
     @Override
     public MembershipView view() {
-        StringBuilder present = new StringBuilder();
+        StringBuilder presentMembers = new StringBuilder();
         members.values().stream()
                 .filter(Member::isPresent)
-                .forEach(m -> present.append(m.identity().name())
-                        .append(m.identity().generation())
+                .forEach(member -> presentMembers
+                        .append(member.identity().name())
+                        .append(member.identity().generation())
                         .append(' '));
         return new MembershipView(
-                version,
-                present.toString(),
+                viewVersion,
+                presentMembers.toString(),
                 scheduler.nowUs(),
                 true,
                 scheduler.nowUs(),
@@ -175,15 +179,15 @@
         if (isStopped) {
             return;
         }
-        Member known = members.get(envelope.senderName());
-        if (known == null || known.identity().generation() < envelope.senderGeneration()) {
+        Member sender = members.get(envelope.senderName());
+        if (sender == null || sender.identity().generation() < envelope.senderGeneration()) {
             pushPull(from);
         } else if (!envelope.updates().isEmpty()) {
-            put(envelope.updates().get(0));
+            updateMember(envelope.updates().get(0));
         } else {
             lastHeartbeatUs.put(envelope.senderName(), scheduler.nowUs());
-            if (known.state() == MemberState.FAILED) {
-                put(known.withState(MemberState.ALIVE, known.incarnation(), ""));
+            if (sender.state() == MemberState.FAILED) {
+                updateMember(sender.withState(MemberState.ALIVE, sender.incarnation(), ""));
             }
         }
     }
@@ -204,15 +208,15 @@
         return Optional.of(encodeView());
     }
 
-    /** Adds a member that is unknown here, or replaces its earlier process. */
+    /** Adds a member that is not in the view yet, or replaces the entry of its earlier process. */
     private void merge(Member entry) {
         String name = entry.identity().name();
-        Member known = members.get(name);
-        boolean isNew = known == null
-                || known.identity().generation() < entry.identity().generation();
+        Member knownMember = members.get(name);
+        boolean isNew = knownMember == null
+                || knownMember.identity().generation() < entry.identity().generation();
         if (isNew && !name.equals(self.name())) {
             lastHeartbeatUs.put(name, scheduler.nowUs());
-            put(entry.withState(MemberState.ALIVE, entry.incarnation(), ""));
+            updateMember(entry.withState(MemberState.ALIVE, entry.incarnation(), ""));
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/baseline/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Other protocols that the product's are measured against.
+ * Other protocols, as baselines for measurements of the product's protocols.
  */
 package tansypass.testbed.baseline;
--- a/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
+++ b/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
@@ -22,14 +22,17 @@
 import tansypass.testbed.simulation.ClusterMetrics.Row;
 import tansypass.testbed.simulation.MembershipFigure;
 
-/** Plots membership figures by cluster size: a curve for each protocol, solid for the median, dashed for the worst. */
+/**
+ * Plots membership figures over the size of the cluster. Each protocol has a solid curve for the median and a dashed
+ * one for the worst value.
+ */
 public final class ClusterPlot {
-    private static final int WIDTH = 900;
-    private static final int PLOT_HEIGHT = 260;
+    private static final int WIDTH_PIXELS = 900;
+    private static final int PLOT_HEIGHT_PIXELS = 260;
     private static final int PLOT_GAP = 16;
-    private static final int TITLE_SIZE = 16;
-    private static final int LABEL_SIZE = 10;
-    /** The figures that are plotted, with the labels of their axes. */
+    private static final int TITLE_FONT_SIZE = 16;
+    private static final int LABEL_FONT_SIZE = 10;
+    /** The figures that are plotted, and the labels of their axes. */
     private static final Map<MembershipFigure, String> AXIS_LABELS = new EnumMap<>(Map.of(
             MembershipFigure.FULL_DETECTION_TIME,
             "failure in all views, s",
@@ -40,7 +43,7 @@
             MembershipFigure.CPU_TIME,
             "CPU us a second, each"));
 
-    private static final float[] DASHES = {6, 4};
+    private static final float[] DASH_LENGTHS = {6, 4};
 
     private ClusterPlot() {}
 
@@ -48,30 +51,31 @@
     public static void write(List<Row> rows, File file) throws IOException {
         LogAxis sizeAxis = new LogAxis("processes");
         sizeAxis.setNumberFormatOverride(NumberFormat.getIntegerInstance(Locale.ROOT));
-        CombinedDomainXYPlot plots = new CombinedDomainXYPlot(sizeAxis);
-        plots.setGap(PLOT_GAP);
+        CombinedDomainXYPlot combinedPlot = new CombinedDomainXYPlot(sizeAxis);
+        combinedPlot.setGap(PLOT_GAP);
         List<String> kinds = rows.stream().map(Row::kind).distinct().toList();
         AXIS_LABELS.forEach((figure, label) -> {
-            boolean isFirst = plots.getSubplots().isEmpty();
-            plots.add(plot(rows, figure.reportName(), label, kinds, isFirst));
+            boolean isFirst = combinedPlot.getSubplots().isEmpty();
+            combinedPlot.add(createPlot(rows, figure.reportName(), label, kinds, isFirst));
         });
         JFreeChart chart = new JFreeChart(
                 "Membership by size: median (line) and worst (dashed)",
-                new Font(Font.SANS_SERIF, Font.PLAIN, TITLE_SIZE),
-                plots,
+                new Font(Font.SANS_SERIF, Font.PLAIN, TITLE_FONT_SIZE),
+                combinedPlot,
                 true);
         chart.setBackgroundPaint(Color.WHITE);
-        ChartUtils.saveChartAsPNG(file, chart, WIDTH, AXIS_LABELS.size() * PLOT_HEIGHT);
+        ChartUtils.saveChartAsPNG(file, chart, WIDTH_PIXELS, AXIS_LABELS.size() * PLOT_HEIGHT_PIXELS);
     }
 
-    private static XYPlot plot(List<Row> rows, String figure, String label, List<String> kinds, boolean inLegend) {
+    private static XYPlot createPlot(
+            List<Row> rows, String figure, String label, List<String> kinds, boolean inLegend) {
         XYSeriesCollection data = new XYSeriesCollection();
         for (String kind : kinds) {
             addSeries(data, rows, figure, kind);
         }
         NumberAxis axis = new NumberAxis(label);
-        axis.setLabelFont(new Font(Font.SANS_SERIF, Font.PLAIN, LABEL_SIZE));
-        XYPlot plot = new XYPlot(data, null, axis, renderer(kinds.size(), inLegend));
+        axis.setLabelFont(new Font(Font.SANS_SERIF, Font.PLAIN, LABEL_FONT_SIZE));
+        XYPlot plot = new XYPlot(data, null, axis, createRenderer(kinds.size(), inLegend));
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         return plot;
@@ -90,10 +94,13 @@
         data.addSeries(worst);
     }
 
-    /** Curves can be distinguished in black and white too: protocols by shade, medians and worst by dashes. */
-    private static XYLineAndShapeRenderer renderer(int kindCount, boolean inLegend) {
+    /**
+     * Creates a renderer whose curves can be distinguished in black and white: protocols by shade, medians and worst
+     * values by dashes.
+     */
+    private static XYLineAndShapeRenderer createRenderer(int kindCount, boolean inLegend) {
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, true);
-        BasicStroke dashed = new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_MITER, 1, DASHES, 0);
+        BasicStroke dashed = new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_MITER, 1, DASH_LENGTHS, 0);
         for (int kind = 0; kind < kindCount; kind++) {
             int median = 2 * kind;
             int worst = median + 1;
--- a/testbed/src/main/java/tansypass/testbed/report/Report.java
+++ b/testbed/src/main/java/tansypass/testbed/report/Report.java
@@ -15,7 +15,7 @@
 import tansypass.testbed.invariant.Violation;
 import tansypass.testbed.scenario.Scenario;
 
-/** The result of a run, as text for people and as JSON for programs. */
+/** The result of a run, as text for operators and as JSON for programs. */
 public final class Report {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
 
@@ -31,27 +31,31 @@
         this.checker = checker;
     }
 
-    /** Creates a report of a run that is over; {@code command} runs it again. */
+    /**
+     * Creates the report of a run that is over.
+     *
+     * @param command the command that repeats the run
+     */
     public static Report of(Scenario scenario, long seed, String command, InvariantChecker checker) {
         return new Report(scenario, seed, command, checker);
     }
 
-    /** Returns whether there was no violation. */
+    /** Returns whether the run had no violations. */
     public boolean hasNoViolations() {
         return checker.violationCount() == 0;
     }
 
-    /** Returns the share of the requests due that were served in time, from 0 to 1. */
+    /** Returns the fraction of the due requests, 0 to 1, that were served in time. */
     public double servedShare() {
         return (double) checker.statistics().count(End.SERVED)
                 / Math.max(1, checker.statistics().offered());
     }
 
-    /** Returns a few lines for people. */
+    /** Returns a summary of a few lines. */
     public String toText() {
         RunStatistics statistics = checker.statistics();
         StringBuilder text = new StringBuilder();
-        line(
+        appendLine(
                 text,
                 "%s, seed %d: %d requests, %.4f served in time, %.3f attempts a request",
                 scenario.name(),
@@ -59,19 +63,19 @@
                 statistics.offered(),
                 servedShare(),
                 (double) statistics.attempts() / Math.max(1, statistics.offered()));
-        StringBuilder ends = new StringBuilder();
+        StringBuilder endsText = new StringBuilder();
         for (End end : End.values()) {
-            ends.append(ends.isEmpty() ? "" : ", ")
-                    .append(word(end))
+            endsText.append(endsText.isEmpty() ? "" : ", ")
+                    .append(displayName(end))
                     .append(' ')
                     .append(statistics.count(end));
         }
-        line(text, "%s", ends);
-        line(
+        appendLine(text, "%s", endsText);
+        appendLine(
                 text,
                 "served, ms: %s; the rig's own lateness, ms: %s",
-                percentiles(statistics.servedLatencies()),
-                percentiles(statistics.sendLateness()));
+                formatPercentiles(statistics.servedLatencies()),
+                formatPercentiles(statistics.sendLateness()));
         appendDeaths(text);
         appendViolations(text);
         return text.toString();
@@ -79,7 +83,7 @@
 
     private void appendDeaths(StringBuilder text) {
         for (Death death : deaths()) {
-            line(
+            appendLine(
                     text,
                     "the end of node-%d was seen after %.2f s by the first, %.2f s by the last of %d",
                     death.node(),
@@ -91,12 +95,17 @@
 
     private void appendViolations(StringBuilder text) {
         for (Violation violation : checker.violations()) {
-            line(text, "RULE BROKEN %s", violation);
+            appendLine(text, "RULE BROKEN %s", violation);
         }
         if (hasNoViolations()) {
-            line(text, "rules kept; trace %s", checker.traceHash());
+            appendLine(text, "rules kept; trace %s", checker.traceHash());
         } else {
-            line(text, "%d breaches; trace %s; again with: %s", checker.violationCount(), checker.traceHash(), command);
+            appendLine(
+                    text,
+                    "%d breaches; trace %s; again with: %s",
+                    checker.violationCount(),
+                    checker.traceHash(),
+                    command);
         }
     }
 
@@ -106,15 +115,15 @@
                 .orElse(List.of());
     }
 
-    private static void line(StringBuilder to, String format, Object... values) {
-        to.append(String.format(Locale.ROOT, format, values)).append('\n');
+    private static void appendLine(StringBuilder text, String format, Object... values) {
+        text.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 
-    private static String word(End end) {
+    private static String displayName(End end) {
         return end.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    private static String percentiles(Histogram histogram) {
+    private static String formatPercentiles(Histogram histogram) {
         StringBuilder text = new StringBuilder();
         for (double percentile : PERCENTILES) {
             text.append(String.format(
@@ -126,7 +135,7 @@
         return text + String.format(Locale.ROOT, "most %.2f", histogram.getMaxValue() / 1e3);
     }
 
-    /** Returns everything as JSON; times are microseconds. */
+    /** Returns the complete report as JSON; times are microseconds. */
     public String toJson() {
         RunStatistics statistics = checker.statistics();
         JsonObject json = new JsonObject();
@@ -136,9 +145,9 @@
         json.addProperty("trace", checker.traceHash());
         json.addProperty("offered", statistics.offered());
         json.addProperty("attempts", statistics.attempts());
-        json.add("ends", ends(statistics::count));
-        json.add("served_us", histogram(statistics.servedLatencies()));
-        json.add("rig_lateness_us", histogram(statistics.sendLateness()));
+        json.add("ends", endsJson(statistics::count));
+        json.add("served_us", histogramJson(statistics.servedLatencies()));
+        json.add("rig_lateness_us", histogramJson(statistics.sendLateness()));
         json.add("seconds", secondsJson());
         json.add("deaths", deathsJson());
         json.addProperty("broken", checker.violationCount());
@@ -148,8 +157,8 @@
 
     private JsonArray secondsJson() {
         JsonArray seconds = new JsonArray();
-        checker.statistics().endsBySecond().forEach((second, of) -> {
-            JsonObject row = ends(end -> of.getOrDefault(end, 0L));
+        checker.statistics().endsBySecond().forEach((second, endCounts) -> {
+            JsonObject row = endsJson(end -> endCounts.getOrDefault(end, 0L));
             row.addProperty("second", second);
             seconds.add(row);
         });
@@ -181,15 +190,15 @@
         return violations;
     }
 
-    private static JsonObject ends(ToLongFunction<End> count) {
-        JsonObject ends = new JsonObject();
+    private static JsonObject endsJson(ToLongFunction<End> count) {
+        JsonObject json = new JsonObject();
         for (End end : End.values()) {
-            ends.addProperty(end.name().toLowerCase(Locale.ROOT), count.applyAsLong(end));
+            json.addProperty(end.name().toLowerCase(Locale.ROOT), count.applyAsLong(end));
         }
-        return ends;
+        return json;
     }
 
-    private static JsonObject histogram(Histogram histogram) {
+    private static JsonObject histogramJson(Histogram histogram) {
         JsonObject json = new JsonObject();
         for (double percentile : PERCENTILES) {
             json.addProperty(
--- a/testbed/src/main/java/tansypass/testbed/report/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/report/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reports of runs for people and programs, and plots. JSON keys are an interface: scripts read them.
+ * Reports of runs, as text and as JSON, and plots. Scripts read the JSON, so its keys must not change.
  */
 package tansypass.testbed.report;
--- a/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
+++ b/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
@@ -41,7 +41,7 @@
         checker.attemptEnded(2_000, "x", attempt, false);
         checker.responseReceived(2_000, "x", 200, "body");
         MembershipInvariantChecker members = checker.membershipChecker().orElseThrow();
-        members.setLiveIncarnation(1, "b");
+        members.setLiveProcess(1, "b");
         members.memberDied(1, 1_000_000);
         members.viewChanged(2_000_000, 0, "a", new Line(1, "b", "failed", 0));
         members.viewChanged(3_000_000, 0, "a", new Line(1, "b", "alive", 0));
--- a/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
@@ -9,10 +9,10 @@
 
 @Timeout(60)
 class ChildProcessReaperTest {
-    private static final int KILLED = 128 + 9;
+    private static final int EXIT_CODE_OF_SIGKILL = 128 + 9;
 
     @Test
-    void reaperKillsStoppedChildButNotDeregisteredOne() throws Exception {
+    void killsStoppedChildButNotDeregisteredOne() throws Exception {
         Process stopped = new ProcessBuilder("sleep", "1000").start();
         Process other = new ProcessBuilder("sleep", "1000").start();
         try {
@@ -26,7 +26,7 @@
                                 .waitFor());
                 reaper.deregister(other.pid());
             }
-            assertEquals(KILLED, stopped.waitFor());
+            assertEquals(EXIT_CODE_OF_SIGKILL, stopped.waitFor());
             assertTrue(other.isAlive());
         } finally {
             other.destroyForcibly();
--- a/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
@@ -36,7 +36,7 @@
 @Timeout(60)
 class RelayTest {
     private static final int TIMEOUT_MS = 20_000;
-    private static final int SILENCE_MS = 150;
+    private static final int NO_DATA_TIMEOUT_MS = 150;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -101,7 +101,7 @@
             client.getOutputStream().write(new byte[] {1, 2});
             accepted.getOutputStream().write(9);
             assertEquals(9, client.getInputStream().read());
-            accepted.setSoTimeout(SILENCE_MS);
+            accepted.setSoTimeout(NO_DATA_TIMEOUT_MS);
             assertThrows(
                     SocketTimeoutException.class,
                     () -> accepted.getInputStream().read());
@@ -126,17 +126,17 @@
             Thread.onSpinWait();
         }
         try (Socket client = new Socket()) {
-            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), SILENCE_MS));
+            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), NO_DATA_TIMEOUT_MS));
         }
-        // One fault ends while another begins: still cut.
+        // The link stays cut, because the second fault begins before the first one ends.
         applyFault(second, true);
         applyFault(first, false);
         try (Socket client = new Socket()) {
-            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), SILENCE_MS));
+            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), NO_DATA_TIMEOUT_MS));
         }
         try (SocketChannel waiting = SocketChannel.open();
                 Selector selector = Selector.open()) {
-            // The handshake has begun before the fault ends: in the gap between two listeners it would be refused.
+            // The handshake begins before the fault ends: while one listener replaces the other it would be refused.
             waiting.configureBlocking(false);
             assertFalse(waiting.connect(relay.address()));
             waiting.register(selector, SelectionKey.OP_CONNECT);
@@ -157,7 +157,7 @@
             Socket accepted = accept();
             applyFault(halfOpen, true);
             accepted.close();
-            client.setSoTimeout(SILENCE_MS);
+            client.setSoTimeout(NO_DATA_TIMEOUT_MS);
             assertThrows(
                     SocketTimeoutException.class, () -> client.getInputStream().read());
             client.setSoTimeout(TIMEOUT_MS);
@@ -180,8 +180,8 @@
             });
             sender.start();
             accepted.getInputStream().readNBytes(1 << 20);
-            sender.join(SILENCE_MS);
-            assertTrue(sender.isAlive(), "64 MB were buffered");
+            sender.join(NO_DATA_TIMEOUT_MS);
+            assertTrue(sender.isAlive(), "the relay buffered all 64 MB, without backpressure");
             accepted.getInputStream().readNBytes(body.length - (1 << 20));
             sender.join();
         }
@@ -199,7 +199,7 @@
         try (Socket client = connect()) {
             assertThrows(SocketException.class, () -> client.getInputStream().read());
         } catch (SocketException e) {
-            // Reset before the connect returned.
+            // The connection was reset before connect() returned.
             assertTrue(e.getMessage().contains("reset"), e.getMessage());
         }
         applyFault(reset, false);
