--- a/testbed/src/main/java/tansypass/testbed/process/Channels.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Channels.java
@@ -24,7 +24,6 @@
      * Listens at an address and waits until it is bound; must not be called on the event loop.
      *
      * @param initializer is called with each accepted connection
-     *
      * @throws AddressUnavailableException if the address can't be bound
      */
     static Channel listen(EventLoop loop, InetSocketAddress address, Consumer<SocketChannel> initializer)
--- a/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
@@ -163,6 +163,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private OpenRequest request;
+        /** Whether the connection has had a response, so that a later request uses an idle connection. */
         private boolean hasResponded;
 
         void init(SocketChannel newChannel) {
--- a/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoopbackAllocator.java
@@ -15,6 +15,7 @@
     /** Number of hosts that share the third part of their address (a row). */
     private static final int HOSTS_PER_ROW = 250;
 
+    /** The first row of the servers; lower rows are for nodes. */
     private static final int FIRST_SERVER_ROW = 100;
     /** A run owns a network while it is bound to this port of the network's first address. */
     private static final int CLAIM_PORT = 9;
@@ -22,6 +23,7 @@
     private static final int CLIENT_PORT = 8_443;
     private static final int ADMIN_PORT = 9_443;
     private static final int MEMBER_PORT = 7_946;
+    /** The first row of the proxy addresses of nodes. */
     private static final int FIRST_PROXY_ROW = 200;
 
     private final int network;
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -35,6 +35,7 @@
     private final List<InetSocketAddress> nodeAddresses = new ArrayList<>();
     private final Map<String, Integer> nodeByHost = new HashMap<>();
     private final List<Channel> proxyChannels = new ArrayList<>();
+    /** The relays of push-pull syncs, by {@code from>to} with the numbers of the nodes. */
     private final Map<String, Relay> relays = new HashMap<>();
 
     MembershipLinks(EventLoop loop, Scheduler scheduler, long seed) {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -83,18 +83,18 @@
     }
 
     private void startNodes() throws NodeStartException, InterruptedException {
-        CompletableFuture<Void> ready = new CompletableFuture<>();
+        CompletableFuture<Void> allReady = new CompletableFuture<>();
         context.loop.execute(() -> {
             context.nodes.forEach(node -> {
                 node.process().start();
                 node.pollReadiness();
             });
-            completeWhenReady(ready);
+            completeWhenReady(allReady);
         });
         // Many nodes that start at the same time need about a second each.
         long timeoutS = Math.max(READY_TIMEOUT_S, context.nodes.size());
         try {
-            ready.get(timeoutS, TimeUnit.SECONDS);
+            allReady.get(timeoutS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
             throw new NodeStartException("not ready within " + timeoutS + " s: " + describeUnreadyNodes(), e);
         } catch (ExecutionException e) {
@@ -109,14 +109,14 @@
                 .toList();
     }
 
-    private void completeWhenReady(CompletableFuture<Void> ready) {
+    private void completeWhenReady(CompletableFuture<Void> allReady) {
         if (!checker.violations().isEmpty()) {
-            ready.completeExceptionally(
+            allReady.completeExceptionally(
                     new NodeStartException(checker.violations().get(0).description()));
         } else if (context.nodes.stream().allMatch(ProcessNodeHandle::isReady)) {
-            ready.complete(null);
+            allReady.complete(null);
         } else {
-            context.scheduler.after(READY_CHECK_INTERVAL_US, () -> completeWhenReady(ready));
+            context.scheduler.after(READY_CHECK_INTERVAL_US, () -> completeWhenReady(allReady));
         }
     }
 
@@ -140,9 +140,9 @@
             Map<End, Long> counts = checker.statistics().endCounts();
             Map<End, Long> endsInSecond = new EnumMap<>(counts);
             endsInSecond.replaceAll((end, count) -> count - previousCounts.getOrDefault(end, 0L));
-            List<Boolean> ready =
+            List<Boolean> areNodesReady =
                     context.nodes.stream().map(ProcessNodeHandle::isReady).toList();
-            progress.onSecond(second, endsInSecond, ready, checker.violationCount());
+            progress.onSecond(second, endsInSecond, areNodesReady, checker.violationCount());
             if (!context.isFinished()) {
                 reportProgress(second + 1, counts);
             }
@@ -150,10 +150,10 @@
     }
 
     private void checkNothingInFlight() {
-        List<ProcessNodeHandle> ready =
+        List<ProcessNodeHandle> readyNodes =
                 context.nodes.stream().filter(ProcessNodeHandle::isReady).toList();
-        int[] remainingResponses = {ready.size()};
-        for (ProcessNodeHandle node : ready) {
+        int[] remainingResponses = {readyNodes.size()};
+        for (ProcessNodeHandle node : readyNodes) {
             HttpGetClient.get(context.loop, node.adminAddress(), "/_vars", response -> {
                 checkNothingInFlight(
                         node, response.map(HttpGetClient.Response::body).orElse(""));
@@ -162,7 +162,7 @@
                 }
             });
         }
-        if (ready.isEmpty()) {
+        if (readyNodes.isEmpty()) {
             finish();
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContextBuilder.java
@@ -96,11 +96,11 @@
     }
 
     private void startServerLinks() throws IOException {
-        for (int link : FaultSchedule.faultyLinks(scenario)) {
-            int node = link / context.servers.size();
-            int server = link % context.servers.size();
+        for (int linkKey : FaultSchedule.faultyLinks(scenario)) {
+            int node = linkKey / context.servers.size();
+            int server = linkKey % context.servers.size();
             context.serverLinks.put(
-                    link,
+                    linkKey,
                     startRelay(
                             ProcessNames.node(node) + ">" + ProcessNames.server(server),
                             scenario.linkDelayUs(node, server),
@@ -122,8 +122,8 @@
     }
 
     private Relay startRelay(String name, long delayUs, InetSocketAddress target, String host) throws IOException {
-        LinkState state = new LinkState(delayUs, RandomStreams.of(context.seed, name));
-        Relay relay = new Relay(context.loop, context.scheduler, state, target);
+        LinkState linkState = new LinkState(delayUs, RandomStreams.of(context.seed, name));
+        Relay relay = new Relay(context.loop, context.scheduler, linkState, target);
         relay.start(host);
         return relay;
     }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -83,8 +83,8 @@
         if (!acceptedChannel.isOpen() && !isTargetSideOpen) {
             openConnections.remove(this);
             targetSide.ifPresent(side -> {
-                side.toTarget().releasePending();
-                side.fromTarget().releasePending();
+                side.toTarget().releasePendingChunks();
+                side.fromTarget().releasePendingChunks();
             });
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -25,11 +25,14 @@
     private final Channel sink;
     private final Direction direction;
     /** Chunks that were read but are not in transit yet, because the link is cut. */
-    private final Deque<ByteBuf> pending = new ArrayDeque<>();
-    /** Chunks in transit. Each has a timer, and each timer releases the oldest chunk, which preserves the order. */
-    private final Deque<Runnable> inTransit = new ArrayDeque<>();
-
-    private RelayPipe reverse;
+    private final Deque<ByteBuf> pendingChunks = new ArrayDeque<>();
+    /**
+     * The deliveries of chunks, and of the end of the stream, that are in transit. Each has a timer, and each timer
+     * runs the oldest delivery, which preserves the order.
+     */
+    private final Deque<Runnable> deliveriesInTransit = new ArrayDeque<>();
+
+    private RelayPipe reversePipe;
     private int bufferedBytes;
     private boolean hasSourceEnded;
 
@@ -43,7 +46,7 @@
 
     /** Sets the pipe of the other direction. */
     void setReverse(RelayPipe pipe) {
-        reverse = pipe;
+        reversePipe = pipe;
     }
 
     /** Starts to read from the source. */
@@ -56,17 +59,17 @@
         ByteBuf chunk = (ByteBuf) message;
         bufferedBytes += chunk.readableBytes();
         updateReading();
-        pending.add(chunk);
+        pendingChunks.add(chunk);
         flush();
     }
 
     /** Puts the pending chunks in transit unless the link is cut; afterwards the end of the stream, if it was read. */
     void flush() {
-        while (!pending.isEmpty() && !linkState.isCut(direction)) {
-            ByteBuf chunk = pending.poll();
+        while (!pendingChunks.isEmpty() && !linkState.isCut(direction)) {
+            ByteBuf chunk = pendingChunks.poll();
             runAfterTransit(chunk.readableBytes(), () -> write(chunk));
         }
-        if (hasSourceEnded && pending.isEmpty() && !linkState.isCut(direction) && !linkState.isHalfOpen()) {
+        if (hasSourceEnded && pendingChunks.isEmpty() && !linkState.isCut(direction) && !linkState.isHalfOpen()) {
             runAfterTransit(0, sink::close);
         }
     }
@@ -88,24 +91,24 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        reverse.updateReading();
+        reversePipe.updateReading();
     }
 
-    private void runAfterTransit(int bytes, Runnable task) {
+    private void runAfterTransit(int bytes, Runnable delivery) {
         long nowUs = scheduler.nowUs();
         long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
-        if (transitUs <= 0 && inTransit.isEmpty()) {
-            task.run();
+        if (transitUs <= 0 && deliveriesInTransit.isEmpty()) {
+            delivery.run();
         } else {
-            inTransit.add(task);
-            scheduler.after(transitUs, () -> inTransit.poll().run());
+            deliveriesInTransit.add(delivery);
+            scheduler.after(transitUs, () -> deliveriesInTransit.poll().run());
         }
     }
 
     /** Releases the pending chunks; called when both connections are closed. */
-    void releasePending() {
-        pending.forEach(ReferenceCountUtil::release);
-        pending.clear();
+    void releasePendingChunks() {
+        pendingChunks.forEach(ReferenceCountUtil::release);
+        pendingChunks.clear();
     }
 
     @Override
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
@@ -25,7 +25,9 @@
 
     private final StubWebServer server;
     private boolean isFirstRequest = true;
+    /** The attempt in flight on this connection; empty between requests. */
     private Optional<Attempt> attempt = Optional.empty();
+
     private Optional<WebServer.Execution> execution = Optional.empty();
 
     /** An attempt in flight: the id of its request, and the number that the checker assigned to it. */
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -48,21 +48,21 @@
     }
 
     private String measureAll(int runs) throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        LinkBenchmark link = new LinkBenchmark(clientLoop, serverLoop);
-        RequestRateBenchmark requests = new RequestRateBenchmark(clientLoop, serverLoop);
-        InetSocketAddress direct = link.receiverAddress();
-        Relay relay = startRelay(direct);
+        LinkBenchmark linkBenchmark = new LinkBenchmark(clientLoop, serverLoop);
+        RequestRateBenchmark requestRateBenchmark = new RequestRateBenchmark(clientLoop, serverLoop);
+        InetSocketAddress receiverAddress = linkBenchmark.receiverAddress();
+        Relay relay = startRelay(receiverAddress);
         double[] directBytesPerS = new double[runs];
         double[] relayedBytesPerS = new double[runs];
         double[] directRoundTripUs = new double[runs];
         double[] relayedRoundTripUs = new double[runs];
         double[] requestsPerS = new double[runs];
         for (int i = 0; i < runs; i++) {
-            directBytesPerS[i] = link.measureBytesPerS(direct);
-            relayedBytesPerS[i] = link.measureBytesPerS(relay.address());
-            directRoundTripUs[i] = link.measureMedianRoundTripUs(direct);
-            relayedRoundTripUs[i] = link.measureMedianRoundTripUs(relay.address());
-            requestsPerS[i] = requests.measureRequestsPerS();
+            directBytesPerS[i] = linkBenchmark.measureBytesPerS(receiverAddress);
+            relayedBytesPerS[i] = linkBenchmark.measureBytesPerS(relay.address());
+            directRoundTripUs[i] = linkBenchmark.measureMedianRoundTripUs(receiverAddress);
+            relayedRoundTripUs[i] = linkBenchmark.measureMedianRoundTripUs(relay.address());
+            requestsPerS[i] = requestRateBenchmark.measureRequestsPerS();
         }
         relayLoop.submit(relay::close).get();
         return formatFigure("bytes a second, no link", directBytesPerS)
--- a/testbed/src/main/java/tansypass/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/Scenario.java
@@ -92,7 +92,7 @@
     /**
      * The settings of the nodes' membership protocol.
      *
-     * @param periodUs the protocol period, in which a member probes one other member
+     * @param periodUs the protocol period, the interval at which a member probes others
      * @param probeTimeoutUs the time after which a probe without a response is repeated through other members
      */
     public record Cluster(long periodUs, long probeTimeoutUs) {}
