--- a/testbed/src/main/java/tansypass/testbed/invariant/NodeExcuses.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/NodeExcuses.java
@@ -9,7 +9,7 @@
 final class NodeExcuses {
     private final Map<Integer, List<Excuse>> excusesByNode = new HashMap<>();
 
-    /** Excuses a node from {@code nowUs} until the excuse is ended. */
+    /** Excuses a node from {@code nowUs} until the returned excuse is ended. */
     Excuse excuse(long nowUs, int node) {
         Excuse excuse = new Excuse(nowUs);
         excusesByNode.computeIfAbsent(node, n -> new ArrayList<>()).add(excuse);
@@ -18,8 +18,8 @@
 
     /** Returns whether the node was excused at any time while the request's client waited. */
     boolean isExcused(RequestRecord request) {
-        long patienceUs = InvariantChecker.patienceUs(request.deadlineUs);
+        long timeoutAtUs = InvariantChecker.responseTimeoutAtUs(request.deadlineUs);
         return excusesByNode.getOrDefault(request.node, List.of()).stream()
-                .anyMatch(excuse -> excuse.overlaps(request.intendedUs, patienceUs));
+                .anyMatch(excuse -> excuse.overlaps(request.intendedUs, timeoutAtUs));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
+++ b/testbed/src/main/java/tansypass/testbed/process/DiscoveryAgent.java
@@ -44,53 +44,58 @@
 import tansypass.testbed.scenario.Scenario;
 
 /**
- * The discovery agent of one node: the platform's protocol on the endpoint list that all nodes share. Lives on
- * the run's event loop.
+ * The discovery agent of one node: serves the endpoint list, which all nodes share, in the platform's discovery
+ * protocol. Used only on the run's event loop, except for {@link #start}.
  */
 final class DiscoveryAgent {
-    private static final int MAX_BODY = 1_024;
-    private static final long KEEP_ALIVE_MS = 2_000;
-    private static final Pattern WATCH = Pattern.compile("/v1/endpoints\\?watch=1&after=([0-9]{1,18})");
+    private static final int MAX_BODY_BYTES = 1_024;
+    private static final long KEEP_ALIVE_INTERVAL_MS = 2_000;
+    private static final Pattern WATCH_REQUEST = Pattern.compile("/v1/endpoints\\?watch=1&after=([0-9]{1,18})");
 
     private final EventLoop loop;
     private final Scenario scenario;
     private final int node;
     private final EndpointRegistry registry;
-    private final IntFunction<InetSocketAddress> addresses;
+    private final IntFunction<InetSocketAddress> serverAddresses;
     private final InvariantChecker checker;
     private final RunClock clock;
     private final Set<Watch> watches = new LinkedHashSet<>();
     private Channel listener;
 
-    /** Creates an agent that does not listen yet; {@code addresses} gives where its node reaches a server. */
+    /**
+     * Creates an agent that does not listen yet.
+     *
+     * @param serverAddresses returns the address at which the node reaches the server with a given number
+     */
     DiscoveryAgent(
             EventLoop loop,
             Scenario scenario,
             int node,
             EndpointRegistry registry,
-            IntFunction<InetSocketAddress> addresses,
+            IntFunction<InetSocketAddress> serverAddresses,
             InvariantChecker checker,
             RunClock clock) {
         this.loop = loop;
         this.scenario = scenario;
         this.node = node;
         this.registry = registry;
-        this.addresses = addresses;
+        this.serverAddresses = serverAddresses;
         this.checker = checker;
         this.clock = clock;
     }
 
-    /** Listens at this host, at a port of its own; not to be called on the loop. */
+    /** Listens at a free port of this host; must not be called on the event loop, because it waits. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
     }
 
     InetSocketAddress address() {
-        return Channels.local(listener);
+        return Channels.localAddress(listener);
     }
 
     private void accept(SocketChannel channel) {
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new RequestHandler());
+        channel.pipeline()
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
     }
 
     private String toJson(WatchEvent event) {
@@ -104,9 +109,9 @@
     private Endpoint toEndpoint(Entry entry) {
         return new Endpoint(
                 entry.name(),
-                addresses.apply(entry.number()),
+                serverAddresses.apply(entry.number()),
                 scenario.zone(entry.number()),
-                entry.number() / scenario.servers().cell(),
+                entry.number() / scenario.servers().serversPerCell(),
                 switch (entry.state()) {
                     case READY -> ServerState.READY;
                     case TERMINATING -> ServerState.DRAINING;
@@ -125,15 +130,16 @@
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            Matcher watch = WATCH.matcher(request.uri());
-            if (watch.matches()) {
-                new Watch(ctx.channel(), Long.parseLong(watch.group(1))).open();
+            Matcher watchRequest = WATCH_REQUEST.matcher(request.uri());
+            if (watchRequest.matches()) {
+                new Watch(ctx.channel(), Long.parseLong(watchRequest.group(1))).open();
             } else if (!registry.isSilent()) {
-                boolean list = request.uri().equals("/v1/endpoints");
+                boolean isListRequest = request.uri().equals("/v1/endpoints");
                 FullHttpResponse response = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        list ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
-                        Unpooled.copiedBuffer(list ? toJson(registry.snapshot()) : "", StandardCharsets.US_ASCII));
+                        isListRequest ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND,
+                        Unpooled.copiedBuffer(
+                                isListRequest ? toJson(registry.snapshot()) : "", StandardCharsets.US_ASCII));
                 response.headers()
                         .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
                 ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
@@ -146,23 +152,23 @@
         }
     }
 
-    /** An open watch: writes what has changed since its last event, whenever the registry publishes. */
+    /** An open watch: writes the changes since its last event each time the registry publishes a change. */
     private final class Watch implements Consumer<WatchEvent> {
         private final Channel channel;
         private long revision;
-        private boolean hasStarted;
+        private boolean hasWrittenHead;
         private Future<?> keepAlive;
 
-        Watch(Channel channel, long after) {
+        Watch(Channel channel, long afterRevision) {
             this.channel = channel;
-            revision = after;
+            revision = afterRevision;
         }
 
         void open() {
             watches.add(this);
             registry.addWatcher(this);
-            keepAlive =
-                    loop.scheduleAtFixedRate(this::writeKeepAlive, KEEP_ALIVE_MS, KEEP_ALIVE_MS, TimeUnit.MILLISECONDS);
+            keepAlive = loop.scheduleAtFixedRate(
+                    this::writeKeepAlive, KEEP_ALIVE_INTERVAL_MS, KEEP_ALIVE_INTERVAL_MS, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(closed -> {
                 keepAlive.cancel(false);
                 watches.remove(this);
@@ -173,15 +179,18 @@
             }
         }
 
-        /** Writes what this watch has not had yet, which may be more than was just published. */
+        /**
+         * Writes all changes since the last event of this watch. These may be more than the registry has just
+         * published, because this watch may have begun at an older revision.
+         */
         @Override
         public void accept(WatchEvent published) {
             writeChanges();
         }
 
         private void writeChanges() {
-            if (!hasStarted) {
-                hasStarted = true;
+            if (!hasWrittenHead) {
+                hasWrittenHead = true;
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
                 channel.write(head);
@@ -193,7 +202,7 @@
         }
 
         private void writeKeepAlive() {
-            if (!registry.isSilent() && hasStarted) {
+            if (!registry.isSilent() && hasWrittenHead) {
                 write("\n");
             }
         }
--- a/testbed/src/main/java/tansypass/testbed/process/HttpPoller.java
+++ b/testbed/src/main/java/tansypass/testbed/process/HttpGetClient.java
@@ -17,17 +17,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Sends one GET request on a connection of its own. */
-final class HttpPoller {
+/** Sends single GET requests, each on a new connection. */
+final class HttpGetClient {
     private static final int TIMEOUT_MS = 1_000;
-    private static final int MAX_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
-    private HttpPoller() {}
+    private HttpGetClient() {}
 
     /** A complete response. */
     record Response(int status, String body) {}
 
-    /** Sends the request; the callback gets the response, or empty if there is none in time, once, on the loop. */
+    /**
+     * Sends a request. The callback is called once, on the event loop: with the response, or with an empty value if
+     * no complete response arrives in time.
+     */
     static void get(EventLoop loop, InetSocketAddress address, String path, Consumer<Optional<Response>> callback) {
         Channels.connect(
                         loop,
@@ -38,10 +41,10 @@
                                 .addLast(
                                         new ReadTimeoutHandler(TIMEOUT_MS, TimeUnit.MILLISECONDS),
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_BODY),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                         new ResponseHandler(path, callback)))
-                .addListener(done -> {
-                    if (!done.isSuccess()) {
+                .addListener(connectResult -> {
+                    if (!connectResult.isSuccess()) {
                         callback.accept(Optional.empty());
                     }
                 });
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -22,19 +22,20 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * The links between nodes as members of a cluster. Each node has a proxy address here, which it advertises;
- * what arrives there from another node's host is forwarded to the owner and seems to come from the sender's
- * proxy address. So datagrams and connections of each pair pass through the testbed without the nodes knowing.
- * Lives on one event loop.
+ * The links between nodes as members of a cluster. Each node advertises a proxy address, which the testbed owns.
+ * Datagrams and connections that arrive there from another node's host are forwarded to the node itself; datagrams
+ * appear to come from the sender's proxy address. All traffic between two nodes thus passes through the testbed
+ * without the nodes being aware of it. Used only on one event loop, except for {@link #openProxy}.
  */
 final class MembershipLinks {
     private final EventLoop loop;
     private final Scheduler scheduler;
     private final LinkMatrix linkMatrix;
     private final long seed;
-    private final List<InetSocketAddress> owners = new ArrayList<>();
-    private final Map<String, Integer> numberByHost = new HashMap<>();
-    private final List<Channel> proxies = new ArrayList<>();
+    private final List<InetSocketAddress> nodeAddresses = new ArrayList<>();
+    private final Map<String, Integer> nodeByHost = new HashMap<>();
+    private final List<Channel> proxyChannels = new ArrayList<>();
+    /** The relays of push-pull syncs, by {@code from>to} with the numbers of the nodes. */
     private final Map<String, Relay> relays = new HashMap<>();
 
     MembershipLinks(EventLoop loop, Scheduler scheduler, long seed) {
@@ -44,31 +45,38 @@
         linkMatrix = new LinkMatrix(seed, (from, to) -> 0);
     }
 
-    /** Opens the proxy address of the next node, which itself listens at {@code owner}, not on the loop. */
-    void open(InetSocketAddress proxy, InetSocketAddress owner) throws AddressUnavailableException {
-        int number = owners.size();
-        owners.add(owner);
-        numberByHost.put(owner.getAddress().getHostAddress(), number);
+    /**
+     * Opens the proxy address of the next node; must not be called on the event loop, because it waits.
+     *
+     * @param nodeAddress the address at which the node itself listens
+     */
+    void openProxy(InetSocketAddress proxyAddress, InetSocketAddress nodeAddress) throws AddressUnavailableException {
+        int number = nodeAddresses.size();
+        nodeAddresses.add(nodeAddress);
+        nodeByHost.put(nodeAddress.getAddress().getHostAddress(), number);
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new DatagramForwarder(number))
-                .bind(proxy)
+                .bind(proxyAddress)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new AddressUnavailableException(
-                    "can't take datagrams at " + proxy + ": " + bound.cause().getMessage(), bound.cause());
+                    "can't receive datagrams at " + proxyAddress + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
-        proxies.add(bound.channel());
-        Channels.listen(loop, proxy, channel -> accept(number, channel));
+        proxyChannels.add(bound.channel());
+        Channels.listen(loop, proxyAddress, channel -> accept(number, channel));
     }
 
-    /** Begins or ends a fault; to be called on the loop. */
+    /** Begins or ends a fault on the link between two nodes; must be called on the event loop. */
     void applyFault(int first, int second, Fault fault, boolean begins) {
         linkMatrix.apply(first, second, fault, begins);
-        if (!fault.kind().isOfDatagrams()) {
+        if (!fault.kind().affectsOnlyDatagrams()) {
             relay(first, second).applyFault(fault, begins);
-            relay(second, first).applyFault(fault.on(fault.way().reversed()), begins);
+            relay(second, first)
+                    .applyFault(fault.withDirection(fault.direction().reversed()), begins);
         }
     }
 
@@ -76,11 +84,14 @@
         return relays.computeIfAbsent(
                 from + ">" + to,
                 name -> new Relay(
-                        loop, scheduler, new LinkState(0, RandomStreams.of(seed, "exchange-" + name)), owners.get(to)));
+                        loop,
+                        scheduler,
+                        new LinkState(0, RandomStreams.of(seed, "exchange-" + name)),
+                        nodeAddresses.get(to)));
     }
 
     private void accept(int to, SocketChannel channel) {
-        Integer from = numberByHost.get(channel.remoteAddress().getAddress().getHostAddress());
+        Integer from = nodeByHost.get(channel.remoteAddress().getAddress().getHostAddress());
         if (from == null) {
             channel.close();
         } else {
@@ -88,7 +99,7 @@
         }
     }
 
-    /** Forwards the datagrams that arrive at a proxy address. */
+    /** Forwards the datagrams that arrive at the proxy address of one node. */
     private final class DatagramForwarder extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int to;
 
@@ -98,7 +109,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer from = numberByHost.get(packet.sender().getAddress().getHostAddress());
+            Integer from = nodeByHost.get(packet.sender().getAddress().getHostAddress());
             if (from == null) {
                 return;
             }
@@ -106,7 +117,8 @@
             for (long dueUs :
                     linkMatrix.datagramDueUs(from, to, nowUs, packet.content().readableBytes())) {
                 ByteBuf copy = packet.content().copy();
-                Runnable forward = () -> proxies.get(from).writeAndFlush(new DatagramPacket(copy, owners.get(to)));
+                Runnable forward =
+                        () -> proxyChannels.get(from).writeAndFlush(new DatagramPacket(copy, nodeAddresses.get(to)));
                 if (dueUs <= nowUs) {
                     forward.run();
                 } else {
@@ -117,7 +129,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Nobody listens there now; there is no connection that this could end.
+            // The receiving node does not listen now. There is no connection to close; continue with the next datagram.
             ctx.read();
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeProcess.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The process of a node: starts, signals and kills it. Lives on the run's event loop. */
+/** Starts, signals and kills the process of a node. Used only on the run's event loop. */
 final class NodeProcess {
     private static final long SIGNAL_TIMEOUT_S = 5;
-    private static final int LAST_LINES = 5;
+    private static final int LOG_TAIL_LINES = 5;
 
     private final String name;
     private final List<String> command;
-    private final Path file;
-    private final Path log;
+    private final Path configFile;
+    private final Path logFile;
     private final ChildProcessReaper reaper;
     private final EventLoop loop;
     private final Consumer<String> onUnexpectedExit;
@@ -30,33 +30,33 @@
     /**
      * Creates a process that is not started yet.
      *
-     * @param command to which the node's file is added
-     * @param onUnexpectedExit gets the reason of an exit that no fault caused, on the loop
+     * @param command the command that starts a node when the path of its configuration file is appended
+     * @param onUnexpectedExit is called on the event loop with the reason if the process exits and no fault caused it
      */
     NodeProcess(
             String name,
             List<String> command,
-            Path file,
-            Path log,
+            Path configFile,
+            Path logFile,
             ChildProcessReaper reaper,
             EventLoop loop,
             Consumer<String> onUnexpectedExit) {
         this.name = name;
         this.command = command;
-        this.file = file;
-        this.log = log;
+        this.configFile = configFile;
+        this.logFile = logFile;
         this.reaper = reaper;
         this.loop = loop;
         this.onUnexpectedExit = onUnexpectedExit;
     }
 
-    /** Starts it; throws UncheckedIOException if the command cannot be started. */
+    /** Starts the process; throws UncheckedIOException if the command can't be executed. */
     void start() {
         List<String> arguments = new ArrayList<>(command);
-        arguments.add(file.toString());
+        arguments.add(configFile.toString());
         ProcessBuilder builder = new ProcessBuilder(arguments)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         builder.environment().keySet().removeIf(key -> key.startsWith("LB_") || key.startsWith("TANSYPASS_"));
         isExitExpected = false;
         isStopped = false;
@@ -64,16 +64,16 @@
         try {
             started = builder.start();
         } catch (IOException e) {
-            throw new UncheckedIOException(name + " can't be started", e);
+            throw new UncheckedIOException("process of " + name + " can't be started: " + arguments, e);
         }
         process = started;
-        reaper.began(started.pid());
+        reaper.register(started.pid());
         started.onExit().thenRun(() -> {
-            reaper.ended(started.pid());
+            reaper.deregister(started.pid());
             loop.execute(() -> {
                 if (process == started && !isExitExpected) {
                     isExitExpected = true;
-                    onUnexpectedExit.accept("ended with code " + started.exitValue() + ": " + lastLines());
+                    onUnexpectedExit.accept("ended with code " + started.exitValue() + ": " + logTail());
                 }
             });
         });
@@ -83,7 +83,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Returns whether it is alive and stopped by SIGSTOP. */
+    /** Returns whether the process is alive and stopped by SIGSTOP. */
     boolean isStopped() {
         return isAlive() && isStopped;
     }
@@ -98,41 +98,41 @@
         process.destroyForcibly();
     }
 
-    /** Sends SIGTERM; throws UncheckedIOException if no signal can be sent. */
-    void term() {
+    /** Sends SIGTERM; throws UncheckedIOException if the signal can't be sent. */
+    void terminate() {
         isExitExpected = true;
-        // Not destroy(), which closes the child's standard input too: the child takes that for its
-        // parent's exit.
-        signal("-TERM");
+        // Not destroy(): it also closes the child's standard input, which the child takes for the exit of its parent.
+        sendSignal("-TERM");
     }
 
-    /** Sends SIGSTOP or SIGCONT; throws UncheckedIOException if no signal can be sent. */
-    void pause(boolean on) {
-        if (isAlive() && isStopped != on) {
-            isStopped = on;
-            signal(on ? "-STOP" : "-CONT");
+    /** Sends SIGSTOP or SIGCONT if that changes the state; throws UncheckedIOException if the signal can't be sent. */
+    void setStopped(boolean stopped) {
+        if (isAlive() && isStopped != stopped) {
+            isStopped = stopped;
+            sendSignal(stopped ? "-STOP" : "-CONT");
         }
     }
 
-    private void signal(String which) {
+    private void sendSignal(String option) {
         try {
-            Process kill = new ProcessBuilder("kill", which, Long.toString(process.pid())).start();
+            Process kill = new ProcessBuilder("kill", option, Long.toString(process.pid())).start();
             if (!kill.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS)) {
                 kill.destroyForcibly();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("no signal can be sent", e);
+            throw new UncheckedIOException(
+                    "signal " + option + " can't be sent to process " + process.pid() + " of " + name, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Returns the last lines of its log, on one line. */
-    String lastLines() {
+    /** Returns the last lines of the process's log, joined into one line. */
+    String logTail() {
         try {
             List<String> lines =
-                    Files.readString(log, StandardCharsets.UTF_8).lines().toList();
-            return String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+                    Files.readString(logFile, StandardCharsets.UTF_8).lines().toList();
+            return String.join(" | ", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
         } catch (IOException e) {
             return "(no log: " + e.getMessage() + ")";
         }
--- a/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
+++ b/testbed/src/main/java/tansypass/testbed/process/NodeToml.java
@@ -8,41 +8,41 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 import tansypass.testbed.scenario.TomlFragments;
 
-/** Writes a node's configuration file from a scenario. */
+/** Formats the configuration file of a node from a scenario. */
 final class NodeToml {
     private NodeToml() {}
 
     /**
      * The addresses of a node.
      *
-     * @param listen where it listens for clients
-     * @param admin where it listens for operators
-     * @param discovery its discovery agent
+     * @param listen the address at which the node listens for clients
+     * @param admin the address at which the node listens for operators
+     * @param discovery the address of the node's discovery agent
      */
     record Addresses(InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery) {}
 
     /**
-     * Returns the configuration file of a node.
+     * Returns the text of a node's configuration file.
      *
-     * @param seed of the node's random numbers, hexadecimal
-     * @param membership the part that {@link #membership} returns, or empty
+     * @param seed the seed of the node's random numbers, hexadecimal
+     * @param membershipSection the section that {@link #membershipSection} returns, or an empty string
      */
-    static String of(Scenario scenario, int node, String seed, Addresses addresses, String membership) {
-        return node(scenario, node, seed, addresses)
+    static String of(Scenario scenario, int node, String seed, Addresses addresses, String membershipSection) {
+        return nodeSection(scenario, node, seed, addresses)
                 + """
                 [discovery]
                 address = "%s"
-                """.formatted(Channels.text(addresses.discovery))
-                + service(scenario.nodes(), scenario.servers())
+                """.formatted(Channels.formatAddress(addresses.discovery))
+                + serviceSection(scenario.nodes(), scenario.servers())
                 + """
                 [log]
                 level = "%s"
                 """.formatted(scenario.nodes().logLevel())
-                + membership
-                + scenario.classes().stream().map(NodeToml::requestClass).collect(Collectors.joining());
+                + membershipSection
+                + scenario.classes().stream().map(NodeToml::requestClassSection).collect(Collectors.joining());
     }
 
-    private static String node(Scenario scenario, int node, String seed, Addresses addresses) {
+    private static String nodeSection(Scenario scenario, int node, String seed, Addresses addresses) {
         return """
                 [node]
                 name = "%s"
@@ -52,13 +52,13 @@
                 seed = "%s"
                 """.formatted(
                         ProcessNames.node(node),
-                        Channels.text(addresses.listen),
-                        Channels.text(addresses.admin),
+                        Channels.formatAddress(addresses.listen),
+                        Channels.formatAddress(addresses.admin),
                         scenario.zone(node),
                         seed);
     }
 
-    private static String service(Scenario.Nodes nodes, Scenario.Servers servers) {
+    private static String serviceSection(Scenario.Nodes nodes, Scenario.Servers servers) {
         return """
                 [service]
                 nodes = %d
@@ -68,15 +68,20 @@
                 cold = "%dus"
                 """.formatted(
                         nodes.count(),
-                        TomlFragments.quoted(nodes.zones()),
-                        TomlFragments.nodeSettings(nodes),
-                        servers.idleUs(),
-                        servers.coldFrom(),
-                        servers.coldUs());
+                        TomlFragments.joinQuoted(nodes.zones()),
+                        TomlFragments.nodeLines(nodes),
+                        servers.idleTimeoutUs(),
+                        servers.slowStartFactor(),
+                        servers.slowStartUs());
     }
 
-    /** Returns the membership part; {@code advertise} is where other members reach the node. */
-    static String membership(
+    /**
+     * Returns the section of the membership protocol.
+     *
+     * @param advertise the address at which other members reach the node
+     * @param seeds the addresses of the members through which the node joins the cluster
+     */
+    static String membershipSection(
             Scenario.Cluster cluster,
             InetSocketAddress listen,
             InetSocketAddress advertise,
@@ -88,17 +93,20 @@
                 deployment = "rig"
                 seeds = [%s]
                 %s""".formatted(
-                        Channels.text(listen),
-                        Channels.text(advertise),
-                        TomlFragments.quoted(seeds.stream().map(Channels::text).toList()),
-                        TomlFragments.probeTiming(cluster));
+                        Channels.formatAddress(listen),
+                        Channels.formatAddress(advertise),
+                        TomlFragments.joinQuoted(
+                                seeds.stream().map(Channels::formatAddress).toList()),
+                        TomlFragments.probeTimingLines(cluster));
     }
 
-    private static String requestClass(RequestClass requestClass) {
+    private static String requestClassSection(RequestClass requestClass) {
         return """
                 [[classes]]
                 name = "%s"
                 %s%s""".formatted(
-                requestClass.name(), TomlFragments.idempotency(requestClass), TomlFragments.latency(requestClass));
+                        requestClass.name(),
+                        TomlFragments.idempotencyLines(requestClass),
+                        TomlFragments.latencyLines(requestClass));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -9,16 +9,18 @@
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.NodeHandle;
 
-/** A node of a run on real processes: its addresses, its clients, and the process that it has now. */
+/** A node of a run on real processes: its addresses, its clients and its current process. */
 final class ProcessNodeHandle extends NodeHandle {
-    /** A node's readiness is polled this often, and less often where many are. */
-    private static final long READY_POLL_US = 100_000;
+    /** The least interval at which a node's readiness is polled; it grows with the number of nodes. */
+    private static final long READY_POLL_INTERVAL_US = 100_000;
 
-    private static final long READY_POLL_PER_NODE_US = 10_000;
-    private static final long VIEW_POLL_US = 200_000;
-    private static final long VIEW_POLL_PER_NODE_US = 20_000;
-    private static final long EXIT_CHECK_US = 20_000;
-    private static final int OK = 200;
+    private static final long READY_POLL_INTERVAL_PER_NODE_US = 10_000;
+    /** The least interval at which a node's membership view is polled; it grows with the number of nodes. */
+    private static final long VIEW_POLL_INTERVAL_US = 200_000;
+
+    private static final long VIEW_POLL_INTERVAL_PER_NODE_US = 20_000;
+    private static final long EXIT_CHECK_INTERVAL_US = 20_000;
+    private static final int STATUS_OK = 200;
 
     private final ProcessRunContext context;
     private final ClientLoadBalancer clientLoadBalancer;
@@ -27,28 +29,28 @@
     private final InetSocketAddress memberAddress;
     private NodeProcess process;
     private LoadGenerator clients;
-    /** As last polled; empty before the first poll of a process. */
-    private Optional<MembershipSnapshot> view = Optional.empty();
+    /** The membership view as last polled; empty until the first poll of a process. */
+    private Optional<MembershipSnapshot> lastView = Optional.empty();
 
     private boolean isReady;
-    /** A fault has ended its process, and it was not started again yet. */
-    private boolean isDown;
+    /** Whether a fault has ended the process and the process has not been started again. */
+    private boolean isEndedByFault;
 
-    ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator hosts) {
+    ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator loopback) {
         super(number, context.scenario, context.checker, context.scheduler, context.clock::nowUs);
         this.context = context;
         clientLoadBalancer = context.clientLoadBalancer;
-        clientAddress = hosts.listen(number);
-        adminAddress = hosts.admin(number);
-        memberAddress = hosts.member(number);
+        clientAddress = loopback.clientAddress(number);
+        adminAddress = loopback.adminAddress(number);
+        memberAddress = loopback.memberAddress(number);
     }
 
-    /** Gives it its process, which is not started yet. */
+    /** Sets the node's process, which is not started yet. */
     void setProcess(NodeProcess process) {
         this.process = process;
     }
 
-    /** Gives it its clients. */
+    /** Sets the clients that send requests to the node. */
     void setClients(LoadGenerator clients) {
         this.clients = clients;
     }
@@ -61,7 +63,7 @@
         return clients;
     }
 
-    /** Returns where the node itself listens for clients. */
+    /** Returns the address at which the node listens for clients, who may reach it through a {@link Relay}. */
     InetSocketAddress clientAddress() {
         return clientAddress;
     }
@@ -70,7 +72,7 @@
         return adminAddress;
     }
 
-    /** Returns whether the last readiness check succeeded. */
+    /** Returns whether the node was ready when it was last polled. */
     boolean isReady() {
         return isReady;
     }
@@ -80,10 +82,10 @@
         return isReady;
     }
 
-    /** Returns them by the last view that was polled. */
+    /** Returns the members that are present in the view that was polled last. */
     @Override
     protected Set<Integer> presentMembers() {
-        return view.map(MembershipSnapshot::present).orElse(Set.of());
+        return lastView.map(MembershipSnapshot::presentMembers).orElse(Set.of());
     }
 
     @Override
@@ -96,15 +98,15 @@
         return process.isStopped();
     }
 
-    /** Polls the node's readiness from now on, as the client load balancer does. */
+    /** Starts to poll the node's readiness regularly, as a client load balancer does. */
     void pollReadiness() {
-        int polled = generation();
-        HttpPoller.get(context.loop, clientAddress, "/ready", response -> {
-            if (polled == generation()) {
-                response.ifPresent(received -> setReady(received.status() == OK));
+        int polledGeneration = generation();
+        HttpGetClient.get(context.loop, clientAddress, "/ready", response -> {
+            if (polledGeneration == generation()) {
+                response.ifPresent(received -> setReady(received.status() == STATUS_OK));
             }
-            long pauseUs = Math.max(READY_POLL_US, READY_POLL_PER_NODE_US * context.nodes.size());
-            scheduler.after(pauseUs, this::pollReadiness);
+            long intervalUs = Math.max(READY_POLL_INTERVAL_US, READY_POLL_INTERVAL_PER_NODE_US * context.nodes.size());
+            scheduler.after(intervalUs, this::pollReadiness);
         });
     }
 
@@ -121,82 +123,82 @@
         }
     }
 
-    /** Polls the node's membership view from now on. */
+    /** Starts to poll the node's membership view regularly. */
     void pollView() {
-        int polled = generation();
-        HttpPoller.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
-            if (polled == generation() && !process.isStopped()) {
-                response.filter(received -> received.status() == OK)
-                        .ifPresent(received -> setView(MembershipSnapshot.read(number(), received.body())));
+        int polledGeneration = generation();
+        HttpGetClient.get(context.loop, memberAddress, ClusterTransport.VIEW_PATH, response -> {
+            if (polledGeneration == generation() && !process.isStopped()) {
+                response.filter(received -> received.status() == STATUS_OK)
+                        .ifPresent(received -> setView(MembershipSnapshot.parse(number(), received.body())));
             }
-            long pauseUs = Math.max(VIEW_POLL_US, VIEW_POLL_PER_NODE_US * context.nodes.size());
-            scheduler.after(pauseUs, this::pollView);
+            long intervalUs = Math.max(VIEW_POLL_INTERVAL_US, VIEW_POLL_INTERVAL_PER_NODE_US * context.nodes.size());
+            scheduler.after(intervalUs, this::pollView);
         });
     }
 
-    private void setView(MembershipSnapshot polled) {
-        view = Optional.of(polled);
-        checker.members().ifPresent(members -> checkView(members, polled));
+    private void setView(MembershipSnapshot view) {
+        lastView = Optional.of(view);
+        checker.membershipChecker().ifPresent(members -> checkView(members, view));
     }
 
-    private void checkView(MembershipInvariantChecker members, MembershipSnapshot polled) {
-        if (!isDown) {
-            members.setLiveIncarnation(number(), polled.incarnation());
+    private void checkView(MembershipInvariantChecker members, MembershipSnapshot view) {
+        if (!isEndedByFault) {
+            members.setLiveProcess(number(), view.ownProcessKey());
         }
-        // Each line has the time since its last change: a poll now and then still gives the time of a change.
-        polled.lines()
-                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), polled.incarnation(), line));
+        // Each line has the time since its last change, so the time of a change is exact although polls are rare.
+        view.unchangedUsByLine()
+                .forEach((line, forUs) -> members.viewChanged(nowUs() - forUs, number(), view.ownProcessKey(), line));
     }
 
-    private void processEnded() {
+    private void handleProcessEnd() {
         nextGeneration();
-        checker.members().ifPresent(members -> members.memberDied(number(), nowUs()));
-        view = Optional.empty();
+        checker.membershipChecker().ifPresent(members -> members.memberDied(number(), nowUs()));
+        lastView = Optional.empty();
         isReady = false;
         clientLoadBalancer.nodeDied(number());
-        endExcuseWithProcess(checker.excuseNode(nowUs(), number()));
+        endExcuseWhenProcessExits(checker.excuseNode(nowUs(), number()));
     }
 
-    /** SIGKILL takes a moment, in which clients may still connect. */
-    private void endExcuseWithProcess(Excuse excuse) {
+    /** Ends the excuse when the process has exited: until SIGKILL takes effect, clients may still connect. */
+    private void endExcuseWhenProcessExits(Excuse excuse) {
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_US, () -> endExcuseWithProcess(excuse));
+            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExcuseWhenProcessExits(excuse));
         } else {
             excuse.end(nowUs());
         }
     }
 
-    /** Its process ended although no fault ended it. */
-    void processDied(String reason) {
+    /** Handles an exit of the process that no fault caused. */
+    void handleUnexpectedExit(String reason) {
         checker.processDied(nowUs(), name(), reason);
-        processEnded();
+        handleProcessEnd();
     }
 
     @Override
     public void kill() {
-        isDown = true;
+        isEndedByFault = true;
         process.kill();
-        processEnded();
+        handleProcessEnd();
     }
 
     @Override
     public void terminate() {
-        isDown = true;
-        checker.members().ifPresent(members -> members.clearLiveIncarnation(number()));
-        process.term();
+        isEndedByFault = true;
+        checker.membershipChecker().ifPresent(members -> members.clearLiveProcess(number()));
+        process.terminate();
         enforceTermination();
     }
 
-    /** Starts a process as soon as the old one has exited. */
+    /** Starts a new process as soon as the old one has exited. */
     @Override
     public void restart() {
-        if (!isDown || context.isFinished()) {
+        if (!isEndedByFault || context.isFinished()) {
             return;
         }
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_US, this::restart);
+            scheduler.after(EXIT_CHECK_INTERVAL_US, this::restart);
         } else {
-            isDown = false;
+            isEndedByFault = false;
             nextGeneration();
             isReady = false;
             process.start();
@@ -205,7 +207,7 @@
 
     @Override
     public void pause(boolean on) {
-        process.pause(on);
+        process.setStopped(on);
         if (on) {
             beginPauseExcuse();
         } else {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRun.java
@@ -23,19 +23,19 @@
 import tansypass.testbed.scenario.Scenario;
 
 /**
- * Runs a scenario with real processes of the program: nodes are child processes; web servers, links and
- * clients are in this process on one event loop, which is also the checker's only thread.
+ * Runs a scenario with real processes of the program. The nodes are child processes. Web servers, links and clients
+ * are in this process, on one event loop, which is also the only thread that calls the checker.
  */
 public final class ProcessRun {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessRun.class);
 
-    /** Clients come when all nodes are ready, or after 30 s (DEPLOY); many at once need a second each. */
+    /** The load starts once all nodes are ready; DEPLOY allows 30 s. Many nodes are allowed one second each. */
     private static final long READY_TIMEOUT_S = 30;
 
-    private static final long READY_CHECK_US = 20_000;
+    private static final long READY_CHECK_INTERVAL_US = 20_000;
     private static final long EXIT_TIMEOUT_S = 20;
-    private static final long SECOND_US = 1_000_000;
-    private static final Pattern IN_FLIGHT = Pattern.compile("(?m)^node\\.in_flight=([0-9]+)$");
+    private static final long US_PER_SECOND = 1_000_000;
+    private static final Pattern IN_FLIGHT_METRIC = Pattern.compile("(?m)^node\\.in_flight=([0-9]+)$");
 
     private final Scenario scenario;
     private final Progress progress;
@@ -51,81 +51,81 @@
     }
 
     /**
-     * Runs the scenario and returns the checker, which has seen all events.
+     * Runs the scenario and returns the checker, which has received all events of the run.
      *
-     * @param command starts a node when its file is added
-     * @param folder for files and logs
+     * @param nodeCommand the command that starts a node when the path of its configuration file is appended
+     * @param folder the folder for the nodes' configuration files and logs
      * @param progress is notified each second, on the event loop
-     * @throws InsufficientResourcesException if the machine has too few resources; nothing was started then
+     * @throws InsufficientResourcesException if the machine has too few resources, before anything is started
      * @throws AddressUnavailableException if an address is taken
      * @throws NodeStartException if a node does not become ready
      * @throws RunAbortedException if a fault can't be injected
-     * @throws IOException if a file can't be written or the testbed's own helper process can't be started
+     * @throws IOException if a file can't be written, or the shell of {@link ChildProcessReaper} can't be started
      */
     public static InvariantChecker run(
-            Scenario scenario, long seed, List<String> command, Path folder, Progress progress)
+            Scenario scenario, long seed, List<String> nodeCommand, Path folder, Progress progress)
             throws IOException, InsufficientResourcesException, InterruptedException {
-        Capacity.require(scenario);
+        ResourceCheck.requireEnoughFor(scenario);
         ProcessRun run = new ProcessRun(scenario, seed, progress);
-        try (LoopbackAllocator hosts = LoopbackAllocator.claim();
+        try (LoopbackAllocator loopback = LoopbackAllocator.claim();
                 ChildProcessReaper reaper = new ChildProcessReaper()) {
-            new ProcessRunContextBuilder(run.context, command, folder, hosts, reaper).build();
+            new ProcessRunContextBuilder(run.context, nodeCommand, folder, loopback, reaper).build();
             run.startNodes();
-            run.context.loop.execute(run::begin);
-            run.context.finished().get();
+            run.context.loop.execute(run::startLoad);
+            run.context.completion().get();
             run.shutDownNodes();
         } catch (ExecutionException e) {
             throw new RunAbortedException("the run failed: " + e.getCause().getMessage(), e.getCause());
         } finally {
-            run.close();
+            run.releaseResources();
         }
         return run.checker;
     }
 
     private void startNodes() throws NodeStartException, InterruptedException {
-        CompletableFuture<Void> ready = new CompletableFuture<>();
+        CompletableFuture<Void> allReady = new CompletableFuture<>();
         context.loop.execute(() -> {
             context.nodes.forEach(node -> {
                 node.process().start();
                 node.pollReadiness();
             });
-            awaitReady(ready);
+            completeWhenReady(allReady);
         });
-        // Many nodes that start at once need a second each.
+        // Many nodes that start at the same time need about a second each.
         long timeoutS = Math.max(READY_TIMEOUT_S, context.nodes.size());
         try {
-            ready.get(timeoutS, TimeUnit.SECONDS);
+            allReady.get(timeoutS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            throw new NodeStartException("not ready within " + timeoutS + " s: " + notReady(), e);
+            throw new NodeStartException("not ready within " + timeoutS + " s: " + describeUnreadyNodes(), e);
         } catch (ExecutionException e) {
             throw new NodeStartException(e.getCause().getMessage(), e);
         }
     }
 
-    private List<String> notReady() {
+    private List<String> describeUnreadyNodes() {
         return context.nodes.stream()
                 .filter(node -> !node.isReady())
-                .map(node -> node.name() + " (" + node.process().lastLines() + ")")
+                .map(node -> node.name() + " (" + node.process().logTail() + ")")
                 .toList();
     }
 
-    private void awaitReady(CompletableFuture<Void> ready) {
+    private void completeWhenReady(CompletableFuture<Void> allReady) {
         if (!checker.violations().isEmpty()) {
-            ready.completeExceptionally(
+            allReady.completeExceptionally(
                     new NodeStartException(checker.violations().get(0).description()));
         } else if (context.nodes.stream().allMatch(ProcessNodeHandle::isReady)) {
-            ready.complete(null);
+            allReady.complete(null);
         } else {
-            context.scheduler.after(READY_CHECK_US, () -> awaitReady(ready));
+            context.scheduler.after(READY_CHECK_INTERVAL_US, () -> completeWhenReady(allReady));
         }
     }
 
-    private void begin() {
+    private void startLoad() {
         LOG.atInfo()
                 .addKeyValue("event", "run.started")
                 .addKeyValue("scenario", scenario.name())
                 .log("run started");
-        context.clock.begin();
+        context.clock.markLoadStart();
         new FaultSchedule(scenario, new ProcessFaultInjector(context)).start(context.scheduler);
         if (scenario.cluster() != null) {
             context.nodes.forEach(ProcessNodeHandle::pollView);
@@ -135,14 +135,14 @@
         reportProgress(1, Map.of());
     }
 
-    private void reportProgress(long second, Map<End, Long> before) {
-        context.scheduler.after(second * SECOND_US - context.clock.nowUs(), () -> {
-            Map<End, Long> counts = checker.statistics().counts();
-            Map<End, Long> ends = new EnumMap<>(counts);
-            ends.replaceAll((end, count) -> count - before.getOrDefault(end, 0L));
-            List<Boolean> ready =
+    private void reportProgress(long second, Map<End, Long> previousCounts) {
+        context.scheduler.after(second * US_PER_SECOND - context.clock.nowUs(), () -> {
+            Map<End, Long> counts = checker.statistics().endCounts();
+            Map<End, Long> endsInSecond = new EnumMap<>(counts);
+            endsInSecond.replaceAll((end, count) -> count - previousCounts.getOrDefault(end, 0L));
+            List<Boolean> areNodesReady =
                     context.nodes.stream().map(ProcessNodeHandle::isReady).toList();
-            progress.second(second, ends, ready, checker.violationCount());
+            progress.onSecond(second, endsInSecond, areNodesReady, checker.violationCount());
             if (!context.isFinished()) {
                 reportProgress(second + 1, counts);
             }
@@ -150,25 +150,25 @@
     }
 
     private void checkNothingInFlight() {
-        List<ProcessNodeHandle> ready =
+        List<ProcessNodeHandle> readyNodes =
                 context.nodes.stream().filter(ProcessNodeHandle::isReady).toList();
-        int[] pending = {ready.size()};
-        for (ProcessNodeHandle node : ready) {
-            HttpPoller.get(context.loop, node.adminAddress(), "/_vars", response -> {
+        int[] remainingResponses = {readyNodes.size()};
+        for (ProcessNodeHandle node : readyNodes) {
+            HttpGetClient.get(context.loop, node.adminAddress(), "/_vars", response -> {
                 checkNothingInFlight(
-                        node, response.map(HttpPoller.Response::body).orElse(""));
-                if (--pending[0] == 0) {
+                        node, response.map(HttpGetClient.Response::body).orElse(""));
+                if (--remainingResponses[0] == 0) {
                     finish();
                 }
             });
         }
-        if (ready.isEmpty()) {
+        if (readyNodes.isEmpty()) {
             finish();
         }
     }
 
     private void checkNothingInFlight(ProcessNodeHandle node, String metrics) {
-        Matcher inFlight = IN_FLIGHT.matcher(metrics);
+        Matcher inFlight = IN_FLIGHT_METRIC.matcher(metrics);
         if (!inFlight.find()) {
             checker.resourceLeaked(context.clock.nowUs(), node.name() + " does not say what it holds");
         } else if (!inFlight.group(1).equals("0")) {
@@ -181,17 +181,17 @@
         context.nodes.forEach(node -> node.clients().close());
         MembershipAgreement.check(scenario, checker, context.nodes, context.clock.nowUs());
         checker.finish(context.clock.nowUs());
-        context.finished().complete(null);
+        context.completion().complete(null);
     }
 
-    /** Ends the nodes by SIGTERM; one that does not exit is a violation. */
+    /** Terminates the nodes by SIGTERM; a node that does not exit in time is a violation. */
     private void shutDownNodes() throws InterruptedException {
         context.nodes.stream()
                 .map(ProcessNodeHandle::process)
                 .filter(NodeProcess::isAlive)
                 .forEach(process -> {
-                    process.pause(false);
-                    process.term();
+                    process.setStopped(false);
+                    process.terminate();
                 });
         for (ProcessNodeHandle node : context.nodes) {
             if (!node.process().process().waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
@@ -201,7 +201,7 @@
         }
     }
 
-    private void close() {
+    private void releaseResources() {
         context.nodes.stream()
                 .filter(ProcessNodeHandle::isAlive)
                 .forEach(node -> node.process().kill());
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -18,48 +18,50 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * A link between two processes: it listens where the one connects, connects to the other, and forwards both
- * streams as the {@link LinkState} says. Lives on one event loop.
+ * A link between two processes. It accepts connections from the one process, opens a connection to the other for each,
+ * and forwards the streams in both directions with the delays and faults of its {@link LinkState}. Used only on one
+ * event loop, except for {@link #start}.
  */
 final class Relay {
+    /** The interval at which a failed attempt to bind the address again is retried. */
     private static final long REBIND_RETRY_US = 1_000;
 
     private final EventLoop loop;
     private final Scheduler scheduler;
-    private final LinkState state;
+    private final LinkState linkState;
     private final InetSocketAddress target;
     private final Set<RelayConnection> connections = new LinkedHashSet<>();
     private InetSocketAddress address;
     private Channel listener;
     private boolean isBinding;
-    /** In place of {@link #listener} while handshakes get no response; empty otherwise. */
-    private Optional<UnresponsiveListener> unresponsive = Optional.empty();
+    /** Replaces {@link #listener} while handshakes get no response; empty otherwise. */
+    private Optional<UnresponsiveListener> unresponsiveListener = Optional.empty();
 
-    Relay(EventLoop loop, Scheduler scheduler, LinkState state, InetSocketAddress target) {
+    Relay(EventLoop loop, Scheduler scheduler, LinkState linkState, InetSocketAddress target) {
         this.loop = loop;
         this.scheduler = scheduler;
-        this.state = state;
+        this.linkState = linkState;
         this.target = target;
     }
 
-    /** Listens at this host, at a port of its own; not to be called on the loop. */
+    /** Listens at a free port of this host; must not be called on the event loop, because it waits. */
     void start(String host) throws IOException {
         listener = Channels.listen(loop, new InetSocketAddress(host, 0), this::accept);
-        address = Channels.local(listener);
+        address = Channels.localAddress(listener);
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    /** Returns for how long what has entered is still in transit, in microseconds. */
-    long busyForUs() {
-        return Math.max(0, state.busyUntilUs() - scheduler.nowUs());
+    /** Returns in how many microseconds all bytes that are in transit now will have been delivered. */
+    long remainingTransitUs() {
+        return Math.max(0, linkState.busyUntilUs() - scheduler.nowUs());
     }
 
-    /** Begins or ends a fault; to be called on the loop. */
+    /** Begins or ends a fault; must be called on the event loop. */
     void applyFault(Fault fault, boolean begins) {
-        state.apply(fault, begins);
+        linkState.apply(fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
             List.copyOf(connections).forEach(RelayConnection::reset);
         }
@@ -69,19 +71,19 @@
         List.copyOf(connections).forEach(RelayConnection::flush);
     }
 
-    /** Returns whether a handshake gets no response now. */
+    /** Returns whether TCP handshakes get no response now. */
     boolean blocksHandshakes() {
-        return unresponsive.isPresent();
+        return unresponsiveListener.isPresent();
     }
 
     /**
-     * While the link is cut, a handshake gets no response. Between the two listeners lies a millisecond or two
-     * in which connections are refused.
+     * Switches to a listener that leaves handshakes without a response when the link is cut, and back afterwards.
+     * While one listener replaces the other, connections are refused for one or two milliseconds.
      */
     private void updateListener() {
-        if (state.blocksHandshakes() && unresponsive.isEmpty()) {
+        if (linkState.blocksHandshakes() && unresponsiveListener.isEmpty()) {
             stopResponding();
-        } else if (!state.blocksHandshakes() && !listener.isOpen() && !isBinding) {
+        } else if (!linkState.blocksHandshakes() && !listener.isOpen() && !isBinding) {
             listenAgain();
         }
     }
@@ -89,9 +91,9 @@
     private void stopResponding() {
         listener.close();
         try {
-            unresponsive = Optional.of(new UnresponsiveListener(address));
+            unresponsiveListener = Optional.of(new UnresponsiveListener(address));
         } catch (BindException e) {
-            // The selector releases a closed socket only in its next turn.
+            // The event loop releases the closed socket only in its next iteration.
             scheduler.after(REBIND_RETRY_US, this::updateListener);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -99,13 +101,13 @@
     }
 
     private void listenAgain() {
-        unresponsive.ifPresent(UnresponsiveListener::close);
-        unresponsive = Optional.empty();
+        unresponsiveListener.ifPresent(UnresponsiveListener::close);
+        unresponsiveListener = Optional.empty();
         isBinding = true;
-        Channels.bind(loop, address, true, this::accept).addListener(done -> {
+        Channels.bind(loop, address, true, this::accept).addListener(bindResult -> {
             isBinding = false;
-            if (done.isSuccess()) {
-                listener = ((ChannelFuture) done).channel();
+            if (bindResult.isSuccess()) {
+                listener = ((ChannelFuture) bindResult).channel();
                 updateListener();
             } else {
                 scheduler.after(REBIND_RETRY_US, this::updateListener);
@@ -113,20 +115,20 @@
         });
     }
 
-    /** Relays a connection; a link that does not listen itself is given its connections by this. */
+    /** Relays a connection. Called by the relay's own listener, or by another one if {@link #start} was not called. */
     void accept(SocketChannel channel) {
-        if (state.isReset()) {
-            Channels.reset(channel);
+        if (linkState.isReset()) {
+            Channels.closeWithReset(channel);
             return;
         }
         channel.config().setAutoRead(false);
-        new RelayConnection(loop, scheduler, state, channel, connections).connect(target);
+        new RelayConnection(loop, scheduler, linkState, channel, connections).connect(target);
     }
 
-    /** Resets all connections and listens no more. */
+    /** Stops listening and resets all connections. */
     void close() {
         listener.close();
-        unresponsive.ifPresent(UnresponsiveListener::close);
+        unresponsiveListener.ifPresent(UnresponsiveListener::close);
         List.copyOf(connections).forEach(RelayConnection::reset);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -12,30 +12,33 @@
 import tansypass.testbed.model.LinkState.Direction;
 
 /**
- * One direction of a relayed connection: forwards what it reads, each chunk when the {@link LinkState} releases
- * it. It buffers a bounded number of bytes; past it the sender is not read, as for a full window. Lives on the
- * relay's event loop.
+ * One direction of a relayed connection. It forwards each chunk that it reads after the transit time that the
+ * {@link LinkState} determines. It buffers a bounded number of bytes: when the buffer is full it stops reading, which
+ * has the effect of a full TCP window on the sender. Used only on the relay's event loop.
  */
 final class RelayPipe extends ChannelInboundHandlerAdapter {
     private static final int MAX_BUFFERED_BYTES = 1 << 18;
 
     private final Scheduler scheduler;
-    private final LinkState state;
+    private final LinkState linkState;
     private final Channel source;
     private final Channel sink;
     private final Direction direction;
-    /** Read, and not yet in transit because the link is cut. */
-    private final Deque<ByteBuf> pending = new ArrayDeque<>();
-    /** In transit, with a timer each; a timer releases the oldest, so that the order is kept. */
-    private final Deque<Runnable> inTransit = new ArrayDeque<>();
-
-    private RelayPipe reverse;
+    /** Chunks that were read but are not in transit yet, because the link is cut. */
+    private final Deque<ByteBuf> pendingChunks = new ArrayDeque<>();
+    /**
+     * The deliveries of chunks, and of the end of the stream, that are in transit. Each has a timer, and each timer
+     * runs the oldest delivery, which preserves the order.
+     */
+    private final Deque<Runnable> deliveriesInTransit = new ArrayDeque<>();
+
+    private RelayPipe reversePipe;
     private int bufferedBytes;
-    private boolean isEnded;
+    private boolean hasSourceEnded;
 
-    RelayPipe(Scheduler scheduler, LinkState state, Channel source, Channel sink, Direction direction) {
+    RelayPipe(Scheduler scheduler, LinkState linkState, Channel source, Channel sink, Direction direction) {
         this.scheduler = scheduler;
-        this.state = state;
+        this.linkState = linkState;
         this.source = source;
         this.sink = sink;
         this.direction = direction;
@@ -43,11 +46,11 @@
 
     /** Sets the pipe of the other direction. */
     void setReverse(RelayPipe pipe) {
-        reverse = pipe;
+        reversePipe = pipe;
     }
 
-    /** Starts to read. */
-    void open() {
+    /** Starts to read from the source. */
+    void startReading() {
         source.config().setAutoRead(true);
     }
 
@@ -56,18 +59,18 @@
         ByteBuf chunk = (ByteBuf) message;
         bufferedBytes += chunk.readableBytes();
         updateReading();
-        pending.add(chunk);
+        pendingChunks.add(chunk);
         flush();
     }
 
-    /** Forwards what is pending, each chunk in its time, unless the link is cut. */
+    /** Puts the pending chunks in transit unless the link is cut; afterwards the end of the stream, if it was read. */
     void flush() {
-        while (!pending.isEmpty() && !state.isCut(direction)) {
-            ByteBuf chunk = pending.poll();
-            afterTransit(chunk.readableBytes(), () -> write(chunk));
+        while (!pendingChunks.isEmpty() && !linkState.isCut(direction)) {
+            ByteBuf chunk = pendingChunks.poll();
+            runAfterTransit(chunk.readableBytes(), () -> write(chunk));
         }
-        if (isEnded && pending.isEmpty() && !state.isCut(direction) && !state.isHalfOpen()) {
-            afterTransit(0, sink::close);
+        if (hasSourceEnded && pendingChunks.isEmpty() && !linkState.isCut(direction) && !linkState.isHalfOpen()) {
+            runAfterTransit(0, sink::close);
         }
     }
 
@@ -81,44 +84,44 @@
         updateReading();
     }
 
-    /** Reads only while there is capacity here and at the receiver. */
+    /** Reads only while the buffer has space and the sink accepts more bytes. */
     private void updateReading() {
         source.config().setAutoRead(bufferedBytes < MAX_BUFFERED_BYTES && sink.isWritable());
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        reverse.updateReading();
+        reversePipe.updateReading();
     }
 
-    private void afterTransit(int bytes, Runnable task) {
+    private void runAfterTransit(int bytes, Runnable delivery) {
         long nowUs = scheduler.nowUs();
-        long transitUs = state.dueUs(direction, nowUs, bytes) - nowUs;
-        if (transitUs <= 0 && inTransit.isEmpty()) {
-            task.run();
+        long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
+        if (transitUs <= 0 && deliveriesInTransit.isEmpty()) {
+            delivery.run();
         } else {
-            inTransit.add(task);
-            scheduler.after(transitUs, () -> inTransit.poll().run());
+            deliveriesInTransit.add(delivery);
+            scheduler.after(transitUs, () -> deliveriesInTransit.poll().run());
         }
     }
 
-    /** Releases what is pending: both connections are closed. */
-    void releasePending() {
-        pending.forEach(ReferenceCountUtil::release);
-        pending.clear();
+    /** Releases the pending chunks; called when both connections are closed. */
+    void releasePendingChunks() {
+        pendingChunks.forEach(ReferenceCountUtil::release);
+        pendingChunks.clear();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        isEnded = true;
+        hasSourceEnded = true;
         flush();
     }
 
-    /** The source was reset, which is forwarded as a reset. */
+    /** Forwards a reset of the source as a reset of the sink. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!state.isCut(direction) && !state.isHalfOpen()) {
-            Channels.reset(sink);
+        if (!linkState.isCut(direction) && !linkState.isHalfOpen()) {
+            Channels.closeWithReset(sink);
         }
         ctx.close();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServerConnection.java
@@ -15,7 +15,7 @@
 import tansypass.testbed.model.WebServer;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** One connection to a {@link StubWebServer}, which carries one request at a time. Lives on the run's event loop. */
+/** One connection to a {@link StubWebServer}, with one request at a time. Used only on the run's event loop. */
 final class StubWebServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String REQUEST_ID_HEADER = "X-Txn";
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
@@ -25,10 +25,12 @@
 
     private final StubWebServer server;
     private boolean isFirstRequest = true;
+    /** The attempt in flight on this connection; empty between requests. */
     private Optional<Attempt> attempt = Optional.empty();
+
     private Optional<WebServer.Execution> execution = Optional.empty();
 
-    /** The attempt in flight: the id of its request, and its number as the checker gave it. */
+    /** An attempt in flight: the id of its request, and the number that the checker assigned to it. */
     private record Attempt(String requestId, int number) {}
 
     StubWebServerConnection(StubWebServer server) {
@@ -38,7 +40,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         Optional<String> id = Optional.ofNullable(request.headers().get(REQUEST_ID_HEADER));
-        Optional<RequestClass> requestClass = server.requestClassAt(pathOf(request));
+        Optional<RequestClass> requestClass = server.findRequestClass(requestClassName(request));
         if (id.isEmpty() || requestClass.isEmpty() || request.decoderResult().isFailure()) {
             write(ctx, newResponse(HttpResponseStatus.NOT_FOUND, ""));
             return;
@@ -47,7 +49,7 @@
     }
 
     /** Returns the first part of the path, which names the class of the request. */
-    private static String pathOf(FullHttpRequest request) {
+    private static String requestClassName(FullHttpRequest request) {
         return request.uri().substring(1).split("[/?]", 2)[0];
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -16,13 +16,14 @@
 import tansypass.testbed.model.LinkState;
 
 /**
- * Measures the overhead of the testbed itself, so that it is not taken for the product's: a {@link Relay}
- * compared to a direct connection, and how many requests per second the clients of one thread send.
+ * Measures the overhead of the testbed itself, so that it can be told from that of the product: the throughput and
+ * round-trip time of a {@link Relay} compared with a direct connection, and the requests per second that clients on one
+ * thread complete.
  */
 public final class TestbedBenchmark {
-    private static final int THREADS = 3;
+    private static final int THREAD_COUNT = 3;
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(THREAD_COUNT, NioIoHandler.newFactory());
     private final EventLoop clientLoop = loops.next();
     private final EventLoop relayLoop = loops.next();
     private final EventLoop serverLoop = loops.next();
@@ -30,7 +31,7 @@
     private TestbedBenchmark() {}
 
     /**
-     * Measures each figure {@code runs} times, in turn, and returns medians, least and most as text.
+     * Measures each figure {@code runs} times, alternately, and returns medians, minima and maxima as text.
      *
      * @throws BenchmarkException if a measurement fails or takes too long
      * @throws IOException if a socket can't be opened
@@ -38,37 +39,37 @@
     public static String measure(int runs) throws IOException, InterruptedException {
         TestbedBenchmark benchmark = new TestbedBenchmark();
         try {
-            return benchmark.run(runs);
+            return benchmark.measureAll(runs);
         } catch (ExecutionException | TimeoutException e) {
-            throw new BenchmarkException("a measurement failed: " + e, e);
+            throw new BenchmarkException("a measurement of the testbed failed: " + e, e);
         } finally {
             benchmark.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
     }
 
-    private String run(int runs) throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        LinkBenchmark link = new LinkBenchmark(clientLoop, serverLoop);
-        RequestRateBenchmark requests = new RequestRateBenchmark(clientLoop, serverLoop);
-        InetSocketAddress direct = link.receiverAddress();
-        Relay relay = startRelay(direct);
+    private String measureAll(int runs) throws IOException, InterruptedException, ExecutionException, TimeoutException {
+        LinkBenchmark linkBenchmark = new LinkBenchmark(clientLoop, serverLoop);
+        RequestRateBenchmark requestRateBenchmark = new RequestRateBenchmark(clientLoop, serverLoop);
+        InetSocketAddress receiverAddress = linkBenchmark.receiverAddress();
+        Relay relay = startRelay(receiverAddress);
         double[] directBytesPerS = new double[runs];
         double[] relayedBytesPerS = new double[runs];
         double[] directRoundTripUs = new double[runs];
         double[] relayedRoundTripUs = new double[runs];
         double[] requestsPerS = new double[runs];
         for (int i = 0; i < runs; i++) {
-            directBytesPerS[i] = link.bytesPerS(direct);
-            relayedBytesPerS[i] = link.bytesPerS(relay.address());
-            directRoundTripUs[i] = link.roundTripUs(direct);
-            relayedRoundTripUs[i] = link.roundTripUs(relay.address());
-            requestsPerS[i] = requests.requestsPerS();
+            directBytesPerS[i] = linkBenchmark.measureBytesPerS(receiverAddress);
+            relayedBytesPerS[i] = linkBenchmark.measureBytesPerS(relay.address());
+            directRoundTripUs[i] = linkBenchmark.measureMedianRoundTripUs(receiverAddress);
+            relayedRoundTripUs[i] = linkBenchmark.measureMedianRoundTripUs(relay.address());
+            requestsPerS[i] = requestRateBenchmark.measureRequestsPerS();
         }
         relayLoop.submit(relay::close).get();
-        return line("bytes a second, no link", directBytesPerS)
-                + line("bytes a second, link", relayedBytesPerS)
-                + line("round trip us, no link", directRoundTripUs)
-                + line("round trip us, link", relayedRoundTripUs)
-                + line("requests a second of one thread", requestsPerS);
+        return formatFigure("bytes a second, no link", directBytesPerS)
+                + formatFigure("bytes a second, link", relayedBytesPerS)
+                + formatFigure("round trip us, no link", directRoundTripUs)
+                + formatFigure("round trip us, link", relayedRoundTripUs)
+                + formatFigure("requests a second of one thread", requestsPerS);
     }
 
     private Relay startRelay(InetSocketAddress target) throws IOException {
@@ -78,7 +79,7 @@
         return relay;
     }
 
-    private static String line(String figure, double[] values) {
+    private static String formatFigure(String figure, double[] values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         return String.format(
--- a/testbed/src/main/java/tansypass/testbed/report/Report.java
+++ b/testbed/src/main/java/tansypass/testbed/report/Report.java
@@ -15,7 +15,7 @@
 import tansypass.testbed.invariant.Violation;
 import tansypass.testbed.scenario.Scenario;
 
-/** The result of a run, as text for people and as JSON for programs. */
+/** The result of a run, as text for operators and as JSON for programs. */
 public final class Report {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
 
@@ -31,27 +31,31 @@
         this.checker = checker;
     }
 
-    /** Creates a report of a run that is over; {@code command} runs it again. */
+    /**
+     * Creates the report of a run that is over.
+     *
+     * @param command the command that repeats the run
+     */
     public static Report of(Scenario scenario, long seed, String command, InvariantChecker checker) {
         return new Report(scenario, seed, command, checker);
     }
 
-    /** Returns whether there was no violation. */
-    public boolean isSound() {
+    /** Returns whether the run had no violations. */
+    public boolean hasNoViolations() {
         return checker.violationCount() == 0;
     }
 
-    /** Returns the share of the requests due that were served in time, from 0 to 1. */
+    /** Returns the fraction of the due requests, 0 to 1, that were served in time. */
     public double servedShare() {
         return (double) checker.statistics().count(End.SERVED)
                 / Math.max(1, checker.statistics().offered());
     }
 
-    /** Returns a few lines for people. */
-    public String text() {
+    /** Returns a summary of a few lines. */
+    public String toText() {
         RunStatistics statistics = checker.statistics();
         StringBuilder text = new StringBuilder();
-        line(
+        appendLine(
                 text,
                 "%s, seed %d: %d requests, %.4f served in time, %.3f attempts a request",
                 scenario.name(),
@@ -59,19 +63,19 @@
                 statistics.offered(),
                 servedShare(),
                 (double) statistics.attempts() / Math.max(1, statistics.offered()));
-        StringBuilder ends = new StringBuilder();
+        StringBuilder endsText = new StringBuilder();
         for (End end : End.values()) {
-            ends.append(ends.isEmpty() ? "" : ", ")
-                    .append(word(end))
+            endsText.append(endsText.isEmpty() ? "" : ", ")
+                    .append(displayName(end))
                     .append(' ')
                     .append(statistics.count(end));
         }
-        line(text, "%s", ends);
-        line(
+        appendLine(text, "%s", endsText);
+        appendLine(
                 text,
                 "served, ms: %s; the rig's own lateness, ms: %s",
-                percentiles(statistics.served()),
-                percentiles(statistics.lateness()));
+                formatPercentiles(statistics.servedLatencies()),
+                formatPercentiles(statistics.sendLateness()));
         appendDeaths(text);
         appendViolations(text);
         return text.toString();
@@ -79,40 +83,47 @@
 
     private void appendDeaths(StringBuilder text) {
         for (Death death : deaths()) {
-            line(
+            appendLine(
                     text,
                     "the end of node-%d was seen after %.2f s by the first, %.2f s by the last of %d",
                     death.node(),
-                    death.firstUs() / 1e6,
-                    death.lastUs() / 1e6,
-                    death.observers());
+                    death.firstDetectionUs() / 1e6,
+                    death.lastDetectionUs() / 1e6,
+                    death.observerCount());
         }
     }
 
     private void appendViolations(StringBuilder text) {
         for (Violation violation : checker.violations()) {
-            line(text, "RULE BROKEN %s", violation);
+            appendLine(text, "RULE BROKEN %s", violation);
         }
-        if (isSound()) {
-            line(text, "rules kept; trace %s", checker.traceHash());
+        if (hasNoViolations()) {
+            appendLine(text, "rules kept; trace %s", checker.traceHash());
         } else {
-            line(text, "%d breaches; trace %s; again with: %s", checker.violationCount(), checker.traceHash(), command);
+            appendLine(
+                    text,
+                    "%d breaches; trace %s; again with: %s",
+                    checker.violationCount(),
+                    checker.traceHash(),
+                    command);
         }
     }
 
     private List<Death> deaths() {
-        return checker.members().map(MembershipInvariantChecker::deaths).orElse(List.of());
+        return checker.membershipChecker()
+                .map(MembershipInvariantChecker::deaths)
+                .orElse(List.of());
     }
 
-    private static void line(StringBuilder to, String format, Object... values) {
-        to.append(String.format(Locale.ROOT, format, values)).append('\n');
+    private static void appendLine(StringBuilder text, String format, Object... values) {
+        text.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 
-    private static String word(End end) {
+    private static String displayName(End end) {
         return end.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    private static String percentiles(Histogram histogram) {
+    private static String formatPercentiles(Histogram histogram) {
         StringBuilder text = new StringBuilder();
         for (double percentile : PERCENTILES) {
             text.append(String.format(
@@ -124,8 +135,8 @@
         return text + String.format(Locale.ROOT, "most %.2f", histogram.getMaxValue() / 1e3);
     }
 
-    /** Returns everything as JSON; times are microseconds. */
-    public String json() {
+    /** Returns the complete report as JSON; times are microseconds. */
+    public String toJson() {
         RunStatistics statistics = checker.statistics();
         JsonObject json = new JsonObject();
         json.addProperty("scenario", scenario.name());
@@ -134,9 +145,9 @@
         json.addProperty("trace", checker.traceHash());
         json.addProperty("offered", statistics.offered());
         json.addProperty("attempts", statistics.attempts());
-        json.add("ends", ends(statistics::count));
-        json.add("served_us", histogram(statistics.served()));
-        json.add("rig_lateness_us", histogram(statistics.lateness()));
+        json.add("ends", endsJson(statistics::count));
+        json.add("served_us", histogramJson(statistics.servedLatencies()));
+        json.add("rig_lateness_us", histogramJson(statistics.sendLateness()));
         json.add("seconds", secondsJson());
         json.add("deaths", deathsJson());
         json.addProperty("broken", checker.violationCount());
@@ -146,8 +157,8 @@
 
     private JsonArray secondsJson() {
         JsonArray seconds = new JsonArray();
-        checker.statistics().seconds().forEach((second, of) -> {
-            JsonObject row = ends(end -> of.getOrDefault(end, 0L));
+        checker.statistics().endsBySecond().forEach((second, endCounts) -> {
+            JsonObject row = endsJson(end -> endCounts.getOrDefault(end, 0L));
             row.addProperty("second", second);
             seconds.add(row);
         });
@@ -159,9 +170,9 @@
         for (Death death : deaths()) {
             JsonObject row = new JsonObject();
             row.addProperty("node", death.node());
-            row.addProperty("first_us", death.firstUs());
-            row.addProperty("last_us", death.lastUs());
-            row.addProperty("observers", death.observers());
+            row.addProperty("first_us", death.firstDetectionUs());
+            row.addProperty("last_us", death.lastDetectionUs());
+            row.addProperty("observers", death.observerCount());
             deaths.add(row);
         }
         return deaths;
@@ -179,15 +190,15 @@
         return violations;
     }
 
-    private static JsonObject ends(ToLongFunction<End> count) {
-        JsonObject ends = new JsonObject();
+    private static JsonObject endsJson(ToLongFunction<End> count) {
+        JsonObject json = new JsonObject();
         for (End end : End.values()) {
-            ends.addProperty(end.name().toLowerCase(Locale.ROOT), count.applyAsLong(end));
+            json.addProperty(end.name().toLowerCase(Locale.ROOT), count.applyAsLong(end));
         }
-        return ends;
+        return json;
     }
 
-    private static JsonObject histogram(Histogram histogram) {
+    private static JsonObject histogramJson(Histogram histogram) {
         JsonObject json = new JsonObject();
         for (double percentile : PERCENTILES) {
             json.addProperty(
--- a/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
@@ -9,24 +9,24 @@
 
 @Timeout(60)
 class ChildProcessReaperTest {
-    private static final int KILLED = 128 + 9;
+    private static final int EXIT_CODE_OF_SIGKILL = 128 + 9;
 
     @Test
-    void reaperKillsStoppedChildButNotDeregisteredOne() throws Exception {
+    void killsStoppedChildButNotDeregisteredOne() throws Exception {
         Process stopped = new ProcessBuilder("sleep", "1000").start();
         Process other = new ProcessBuilder("sleep", "1000").start();
         try {
             try (ChildProcessReaper reaper = new ChildProcessReaper()) {
-                reaper.began(stopped.pid());
-                reaper.began(other.pid());
+                reaper.register(stopped.pid());
+                reaper.register(other.pid());
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-STOP", Long.toString(stopped.pid()))
                                 .start()
                                 .waitFor());
-                reaper.ended(other.pid());
+                reaper.deregister(other.pid());
             }
-            assertEquals(KILLED, stopped.waitFor());
+            assertEquals(EXIT_CODE_OF_SIGKILL, stopped.waitFor());
             assertTrue(other.isAlive());
         } finally {
             other.destroyForcibly();
--- a/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
@@ -30,13 +30,13 @@
 import tansypass.cluster.transport.EventLoopScheduler;
 import tansypass.testbed.model.LinkState;
 import tansypass.testbed.scenario.Scenario.Fault;
+import tansypass.testbed.scenario.Scenario.FaultDirection;
 import tansypass.testbed.scenario.Scenario.Kind;
-import tansypass.testbed.scenario.Scenario.Way;
 
 @Timeout(60)
 class RelayTest {
     private static final int TIMEOUT_MS = 20_000;
-    private static final int SILENCE_MS = 150;
+    private static final int NO_DATA_TIMEOUT_MS = 150;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -59,7 +59,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
     }
 
-    private static Fault fault(Kind kind, Way way) {
+    private static Fault fault(Kind kind, FaultDirection way) {
         return new Fault(kind, 0, 0, List.of("node-0", "server-0"), way, 0, 0);
     }
 
@@ -94,14 +94,14 @@
 
     @Test
     void cutDelaysOneDirectionAndDeliversInOrderAfterwards() throws Exception {
-        Fault cut = fault(Kind.CUT, Way.THERE);
+        Fault cut = fault(Kind.CUT, FaultDirection.THERE);
         try (Socket client = connect();
                 Socket accepted = accept()) {
             applyFault(cut, true);
             client.getOutputStream().write(new byte[] {1, 2});
             accepted.getOutputStream().write(9);
             assertEquals(9, client.getInputStream().read());
-            accepted.setSoTimeout(SILENCE_MS);
+            accepted.setSoTimeout(NO_DATA_TIMEOUT_MS);
             assertThrows(
                     SocketTimeoutException.class,
                     () -> accepted.getInputStream().read());
@@ -119,24 +119,24 @@
 
     @Test
     void cutBlocksHandshakesUntilLastFaultEnds() throws Exception {
-        Fault first = fault(Kind.CUT, Way.BOTH);
-        Fault second = fault(Kind.CUT, Way.BACK);
+        Fault first = fault(Kind.CUT, FaultDirection.BOTH);
+        Fault second = fault(Kind.CUT, FaultDirection.BACK);
         applyFault(first, true);
         while (!loop.submit(relay::blocksHandshakes).get()) {
             Thread.onSpinWait();
         }
         try (Socket client = new Socket()) {
-            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), SILENCE_MS));
+            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), NO_DATA_TIMEOUT_MS));
         }
-        // One fault ends while another begins: still cut.
+        // The link stays cut, because the second fault begins before the first one ends.
         applyFault(second, true);
         applyFault(first, false);
         try (Socket client = new Socket()) {
-            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), SILENCE_MS));
+            assertThrows(SocketTimeoutException.class, () -> client.connect(relay.address(), NO_DATA_TIMEOUT_MS));
         }
         try (SocketChannel waiting = SocketChannel.open();
                 Selector selector = Selector.open()) {
-            // The handshake has begun before the fault ends: in the gap between two listeners it would be refused.
+            // The handshake begins before the fault ends: while one listener replaces the other it would be refused.
             waiting.configureBlocking(false);
             assertFalse(waiting.connect(relay.address()));
             waiting.register(selector, SelectionKey.OP_CONNECT);
@@ -152,12 +152,12 @@
 
     @Test
     void halfOpenLinkDelaysEndOfStreamUntilFaultEnds() throws Exception {
-        Fault halfOpen = fault(Kind.HALF_OPEN, Way.BOTH);
+        Fault halfOpen = fault(Kind.HALF_OPEN, FaultDirection.BOTH);
         try (Socket client = connect()) {
             Socket accepted = accept();
             applyFault(halfOpen, true);
             accepted.close();
-            client.setSoTimeout(SILENCE_MS);
+            client.setSoTimeout(NO_DATA_TIMEOUT_MS);
             assertThrows(
                     SocketTimeoutException.class, () -> client.getInputStream().read());
             client.setSoTimeout(TIMEOUT_MS);
@@ -180,8 +180,8 @@
             });
             sender.start();
             accepted.getInputStream().readNBytes(1 << 20);
-            sender.join(SILENCE_MS);
-            assertTrue(sender.isAlive(), "64 MB were buffered");
+            sender.join(NO_DATA_TIMEOUT_MS);
+            assertTrue(sender.isAlive(), "the relay buffered all 64 MB, without backpressure");
             accepted.getInputStream().readNBytes(body.length - (1 << 20));
             sender.join();
         }
@@ -189,7 +189,7 @@
 
     @Test
     void resetFaultResetsOpenAndNewConnections() throws Exception {
-        Fault reset = fault(Kind.RESET, Way.BOTH);
+        Fault reset = fault(Kind.RESET, FaultDirection.BOTH);
         try (Socket client = connect();
                 Socket accepted = accept()) {
             applyFault(reset, true);
@@ -199,7 +199,7 @@
         try (Socket client = connect()) {
             assertThrows(SocketException.class, () -> client.getInputStream().read());
         } catch (SocketException e) {
-            // Reset before the connect returned.
+            // The connection was reset before connect() returned.
             assertTrue(e.getMessage().contains("reset"), e.getMessage());
         }
         applyFault(reset, false);
