--- a/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
+++ b/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
@@ -2,12 +2,19 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import tansypass.cluster.runtime.RandomStreams;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.invariant.MembershipInvariantChecker.Line;
+import tansypass.testbed.model.WebServer;
 import tansypass.testbed.report.Report;
 import tansypass.testbed.scenario.Scenario;
+import tansypass.testbed.simulation.ClusterMetrics;
+import tansypass.testbed.simulation.EventQueue;
 
 /** Lists the texts and keys of reports and violations: scripts read them, and traces contain them. */
 class ExternalNamesTest {
@@ -31,6 +38,23 @@
             "second":0}],"deaths":[{"node":1,"first_us":1000000,"last_us":1000000,"observers":1}],"broken":1,\
             "breaches":[{"rule":"MEMBER_RETURNED","at_us":3000000,"what":"VIOLATION"}]}""";
 
+    private static final String CLUSTER_METRICS = """
+            swim, 2 processes, 0 % of datagrams lost, 1 seeds: median, worst
+              all agree after a start at once, s
+              a death is seen by the first, s
+              and by all, s
+              all agree after a partition in halves of 60 s, s
+              datagrams a second of a process at rest
+              bytes a second of them
+              bytes a second of full exchanges
+              processor time a second of a process at rest, us
+              wrongly failed in 90 s
+              wrongly failed in an hour, of those that stand still
+              wrongly failed in an hour, of the others
+            heartbeats, 2 processes, 0 % of datagrams lost, 1 seeds: median, worst
+              wrongly failed in an hour
+            """;
+
     @Test
     void keepsTextsAndKeysOfReports() {
         Scenario scenario = TestScenarios.of(TestScenarios.SMALL.replace("[clients]", "[fleet]\n[clients]"));
@@ -56,4 +80,29 @@
                         .replaceAll("\\n *", "")
                         .replace(": ", ":"));
     }
+
+    @Test
+    void keepsTextsOfClusterMetrics() throws InterruptedException {
+        ClusterMetrics metrics = new ClusterMetrics();
+        metrics.measure("swim", 2, 0, 1, 1);
+        metrics.measureFalsePositives("swim", 2, 0, true, 1, 1);
+        metrics.measureFalsePositives("heartbeats", 2, 0, false, 1, 1);
+        assertEquals(CLUSTER_METRICS, metrics.text().replaceAll(" +[0-9]+\\.[0-9]{2}", ""));
+    }
+
+    @Test
+    void keepsFieldsOfLoadReports() {
+        Scenario scenario = TestScenarios.of(TestScenarios.SMALL.replace("cell = 2", "cell = 2\nreports = true"));
+        EventQueue queue = new EventQueue();
+        WebServer server = new WebServer("server-0", scenario.servers(), queue, RandomStreams.of(1, "server-0"));
+        List<String> reports = new ArrayList<>();
+        server.serve(
+                scenario.classes().get(0),
+                Optional.empty(),
+                false,
+                response -> reports.add(response.loadReport().orElseThrow()));
+        queue.runUntil(10_000_000);
+        assertEquals(1, reports.size());
+        assertEquals("inflight=,queue=,util=", reports.get(0).replaceAll("[0-9.]+", ""));
+    }
 }
