--- a/cli/src/main/java/tansypass/cli/ClusterCommand.java
+++ b/cli/src/main/java/tansypass/cli/ClusterCommand.java
@@ -60,7 +60,7 @@
                     "--nodes are from 3 to 5000, --loss from 0 to under 1, --seeds and --threads from 1");
         }
         ClusterMetrics metrics = new ClusterMetrics();
-        List<String> kinds = ClusterMetrics.kindNames();
+        List<String> kinds = ClusterMetrics.protocolNames();
         for (int size : sizes) {
             for (String kind : baseline ? kinds : kinds.subList(0, 1)) {
                 if (hour) {
--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -102,7 +102,7 @@
     }
 
     /** Writes the smallest schedule to a file and prints the violation. */
-    private void report(Scenario scenario, ScheduleExplorer.Found found, PrintWriter out) throws IOException {
+    private void report(Scenario scenario, ScheduleExplorer.Finding found, PrintWriter out) throws IOException {
         Path kept = keptFile(scenario, found);
         Files.createDirectories(keep);
         Files.writeString(kept, ScenarioToml.of(found.smallest()));
@@ -115,7 +115,7 @@
         out.flush();
     }
 
-    private Path keptFile(Scenario scenario, ScheduleExplorer.Found found) {
+    private Path keptFile(Scenario scenario, ScheduleExplorer.Finding found) {
         return keep.resolve(scenario.name() + "-" + found.seed() + ".toml");
     }
 
--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -53,7 +53,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"calm", "rolling", "links", "servers", "members"})
     void violatesNoInvariantUnderRandomFaults(String name) throws Exception {
-        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
+        Optional<ScheduleExplorer.Finding> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
                 .explore(1, BUDGET_MS, MAX_SCHEDULES, Runtime.getRuntime().availableProcessors())
                 .found();
         assertEquals(Optional.empty(), found);
--- a/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
@@ -41,14 +41,14 @@
      *
      * @param smallest the scenario with the fewest and shortest faults that still cause it
      */
-    public record Found(Scenario smallest, long seed, Violation violation) {}
+    public record Finding(Scenario smallest, long seed, Violation violation) {}
 
     /**
      * The result of a search.
      *
      * @param tried schedules run, not counting those of shrinking one
      */
-    public record Result(int tried, Optional<Found> found) {}
+    public record Result(int tried, Optional<Finding> found) {}
 
     /** Creates an explorer; the scenario's own faults are injected together with the random ones. */
     public ScheduleExplorer(Scenario base, Runner runner) {
@@ -127,7 +127,7 @@
         return base.withFaults(faults);
     }
 
-    private Found shrink(Scenario found, long seed) {
+    private Finding shrink(Scenario found, long seed) {
         Violation violation = runner.run(found, seed).violations().get(0);
         Scenario smallest = found;
         boolean smaller = true;
@@ -143,7 +143,7 @@
                 }
             }
         }
-        return new Found(smallest, seed, violation);
+        return new Finding(smallest, seed, violation);
     }
 
     private static Optional<Violation> same(InvariantChecker checker, Invariant invariant) {
--- a/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
@@ -48,11 +48,11 @@
     protected abstract long clientLinkClearedUs(int node);
 
     @Override
-    public void nodeFault(int number, Fault fault, boolean begins) {
+    public void applyNodeFault(int number, Fault fault, boolean begins) {
         NodeHandle node = nodes.get(number);
         node.faultChanged(begins);
         if (fault.kind() == Kind.PAUSE) {
-            node.pause(begins);
+            node.setPaused(begins);
         } else if (!begins) {
             node.restart();
         } else if (fault.kind() == Kind.KILL) {
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public final void serverFault(int number, Fault fault, boolean begins) {
+    public final void applyServerFault(int number, Fault fault, boolean begins) {
         String name = ProcessNames.server(number);
         if (fault.kind() != Kind.KILL) {
             webServer(number).applyFault(fault, begins);
@@ -80,19 +80,19 @@
     }
 
     @Override
-    public final void discoverySilence(boolean silent) {
+    public final void setDiscoverySilent(boolean silent) {
         registry.setSilent(silent);
     }
 
     @Override
-    public final void memberLinkFault(int first, int second, Fault fault, boolean begins) {
+    public final void applyMemberLinkFault(int first, int second, Fault fault, boolean begins) {
         applyToMemberLink(first, second, fault, begins);
         nodes.get(first).faultChanged(begins);
         nodes.get(second).faultChanged(begins);
     }
 
     @Override
-    public void clientLinkFault(int node, Fault fault, boolean begins) {
+    public void applyClientLinkFault(int node, Fault fault, boolean begins) {
         applyToClientLink(node, fault, begins);
         if (begins) {
             nodes.get(node).clientLinkFaultBegan(fault);
--- a/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
@@ -13,22 +13,22 @@
     /** Applies single faults to the nodes, servers and links of a run. */
     public interface Target {
         /** A fault of a node begins or ends. */
-        void nodeFault(int node, Fault fault, boolean begins);
+        void applyNodeFault(int node, Fault fault, boolean begins);
 
         /** A fault of a server begins or ends. */
-        void serverFault(int server, Fault fault, boolean begins);
+        void applyServerFault(int server, Fault fault, boolean begins);
 
         /** Discovery withholds changes, or publishes them again. */
-        void discoverySilence(boolean silent);
+        void setDiscoverySilent(boolean silent);
 
         /** A fault of the link from a node to a server begins or ends. */
-        void serverLinkFault(int node, int server, Fault fault, boolean begins);
+        void applyServerLinkFault(int node, int server, Fault fault, boolean begins);
 
         /** A fault of the link between two nodes begins or ends. */
-        void memberLinkFault(int first, int second, Fault fault, boolean begins);
+        void applyMemberLinkFault(int first, int second, Fault fault, boolean begins);
 
         /** A fault of the link from the clients to a node begins or ends. */
-        void clientLinkFault(int node, Fault fault, boolean begins);
+        void applyClientLinkFault(int node, Fault fault, boolean begins);
     }
 
     private final Scenario scenario;
@@ -54,27 +54,27 @@
     private void apply(Fault fault, boolean begins) {
         String first = fault.targets().get(0);
         if (first.equals("discovery")) {
-            target.discoverySilence(begins);
+            target.setDiscoverySilent(begins);
         } else if (fault.kind().isLinkFault()) {
             for (int second : numbers(scenario, fault.targets().get(1))) {
                 if (first.equals("clients")) {
-                    target.clientLinkFault(second, fault, begins);
+                    target.applyClientLinkFault(second, fault, begins);
                 } else {
                     numbers(scenario, first).forEach(node -> applyToLink(node, second, fault, begins));
                 }
             }
         } else if (first.startsWith("node")) {
-            numbers(scenario, first).forEach(node -> target.nodeFault(node, fault, begins));
+            numbers(scenario, first).forEach(node -> target.applyNodeFault(node, fault, begins));
         } else {
-            numbers(scenario, first).forEach(server -> target.serverFault(server, fault, begins));
+            numbers(scenario, first).forEach(server -> target.applyServerFault(server, fault, begins));
         }
     }
 
     private void applyToLink(int node, int second, Fault fault, boolean begins) {
         if (!fault.isBetweenNodes()) {
-            target.serverLinkFault(node, second, fault, begins);
+            target.applyServerLinkFault(node, second, fault, begins);
         } else if (node != second) {
-            target.memberLinkFault(node, second, fault, begins);
+            target.applyMemberLinkFault(node, second, fault, begins);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
@@ -79,9 +79,9 @@
                 : link.datagramDueUs(Direction.THERE, nowUs, bytes);
     }
 
-    /** Returns when a piece of a stream comes out, as {@link LinkState#dueUs} does. */
+    /** Returns when a piece of a stream comes out, as {@link LinkState#streamDueUs} does. */
     public long streamDueUs(int from, int to, long nowUs, int bytes) {
         LinkState link = links.get(key(from, to));
-        return link == null ? nowUs + delayUs.applyAsLong(from, to) : link.dueUs(Direction.THERE, nowUs, bytes);
+        return link == null ? nowUs + delayUs.applyAsLong(from, to) : link.streamDueUs(Direction.THERE, nowUs, bytes);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/model/LinkState.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkState.java
@@ -110,7 +110,7 @@
     }
 
     /** Returns when a piece of a stream that enters now comes out, never before an earlier one. */
-    public long dueUs(Direction direction, long nowUs, int bytes) {
+    public long streamDueUs(Direction direction, long nowUs, int bytes) {
         long transitUs = delayUs;
         double rate = Double.MAX_VALUE;
         for (Fault fault : active) {
--- a/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
@@ -59,7 +59,7 @@
     }
 
     /** Makes what was scheduled for the present process outdated. */
-    protected final void nextGeneration() {
+    protected final void advanceGeneration() {
         generation++;
     }
 
@@ -81,7 +81,7 @@
     protected abstract Set<Integer> presentMembers();
 
     /** Stops its process (SIGSTOP), or resumes it (SIGCONT). */
-    public abstract void pause(boolean on);
+    public abstract void setPaused(boolean paused);
 
     /** Kills its process (SIGKILL). */
     public abstract void kill();
--- a/testbed/src/main/java/tansypass/testbed/model/PoissonArrivals.java
+++ b/testbed/src/main/java/tansypass/testbed/model/PoissonArrivals.java
@@ -27,7 +27,7 @@
     }
 
     /** Moves on to the next request and returns when it is due, in microseconds. */
-    public long nextUs() {
+    public long nextArrivalUs() {
         atUs += gap.sample() * meanGapUs;
         return Math.round(atUs);
     }
--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -114,7 +114,7 @@
     }
 
     /** Returns for how long a connection may be idle. */
-    public long idleUs() {
+    public long idleTimeoutUs() {
         return spec.idleTimeoutUs();
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadDriver.java
@@ -25,7 +25,7 @@
 
     /** Starts the load, which stops after the length of the scenario. */
     void start() {
-        sendDueRequests(arrivals.nextUs());
+        sendDueRequests(arrivals.nextArrivalUs());
     }
 
     private void sendDueRequests(long firstUs) {
@@ -34,7 +34,7 @@
         // schedule would fall further behind.
         while (dueUs <= context.clock.nowUs() && dueUs < context.scenario.lengthUs()) {
             send(arrivals.nextClass(), HexFormat.of().toHexDigits(arrivals.nextId()), dueUs);
-            dueUs = arrivals.nextUs();
+            dueUs = arrivals.nextArrivalUs();
         }
         if (dueUs < context.scenario.lengthUs()) {
             long nextUs = dueUs;
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessFaultInjector.java
@@ -17,7 +17,7 @@
 
     /** Begins or ends a fault of a node; aborts the run if a signal can't be sent or a process can't be started. */
     @Override
-    public void nodeFault(int number, Fault fault, boolean begins) {
+    public void applyNodeFault(int number, Fault fault, boolean begins) {
         ProcessNodeHandle node = context.nodes.get(number);
         if (begins && fault.kind() != Kind.PAUSE && !node.isAlive()) {
             // The node has no process that a fault could end.
@@ -25,7 +25,7 @@
             return;
         }
         try {
-            super.nodeFault(number, fault, begins);
+            super.applyNodeFault(number, fault, begins);
         } catch (UncheckedIOException e) {
             context.completion().completeExceptionally(e);
         }
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void serverLinkFault(int node, int server, Fault fault, boolean begins) {
+    public void applyServerLinkFault(int node, int server, Fault fault, boolean begins) {
         context.serverLinks.get(context.linkKey(node, server)).applyFault(fault, begins);
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -151,7 +151,7 @@
     }
 
     private void handleProcessEnd() {
-        nextGeneration();
+        advanceGeneration();
         checker.membershipChecker().ifPresent(members -> members.memberDied(number(), nowUs()));
         lastView = Optional.empty();
         isReady = false;
@@ -199,16 +199,16 @@
             scheduler.after(EXIT_CHECK_INTERVAL_US, this::restart);
         } else {
             isEndedByFault = false;
-            nextGeneration();
+            advanceGeneration();
             isReady = false;
             process.start();
         }
     }
 
     @Override
-    public void pause(boolean on) {
-        process.setStopped(on);
-        if (on) {
+    public void setPaused(boolean paused) {
+        process.setStopped(paused);
+        if (paused) {
             beginPauseExcuse();
         } else {
             endPauseExcuse();
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -93,7 +93,7 @@
 
     private void runAfterTransit(int bytes, Runnable task) {
         long nowUs = scheduler.nowUs();
-        long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
+        long transitUs = linkState.streamDueUs(direction, nowUs, bytes) - nowUs;
         if (transitUs <= 0 && inTransit.isEmpty()) {
             task.run();
         } else {
--- a/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/process/StubWebServer.java
@@ -88,7 +88,7 @@
         channels.add(channel);
         channel.pipeline()
                 .addLast(
-                        new IdleStateHandler(0, 0, model.idleUs(), TimeUnit.MICROSECONDS),
+                        new IdleStateHandler(0, 0, model.idleTimeoutUs(), TimeUnit.MICROSECONDS),
                         new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_BODY_BYTES),
                         new StubWebServerConnection(this));
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns the names of the protocols; the first is the product's. */
-    public static List<String> kindNames() {
+    public static List<String> protocolNames() {
         return List.copyOf(FACTORIES.keySet());
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
@@ -64,15 +64,15 @@
         cluster.setLossRate(lossRate);
         long endUs = cluster.nowUs() + DURATION_US;
         while (cluster.nowUs() < endUs) {
-            pauseMembers(true);
+            setMembersPaused(true);
             cluster.run(MIN_PAUSE_US + random.nextLong(2 * SECOND_US));
-            pauseMembers(false);
+            setMembersPaused(false);
             cluster.run(MIN_RUN_US + random.nextLong(10 * SECOND_US));
         }
     }
 
-    private void pauseMembers(boolean on) {
-        IntStream.range(0, memberCount).filter(this::isPausedRepeatedly).forEach(i -> cluster.pause(i, on));
+    private void setMembersPaused(boolean paused) {
+        IntStream.range(0, memberCount).filter(this::isPausedRepeatedly).forEach(i -> cluster.setPaused(i, paused));
     }
 
     private boolean isPausedRepeatedly(int number) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
@@ -54,7 +54,7 @@
         if (link.isReset() || !server.isUp()) {
             queue.after(0, this::reset);
         } else if (!link.isCut(Direction.THERE)) {
-            long dueUs = link.dueUs(Direction.THERE, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
+            long dueUs = link.streamDueUs(Direction.THERE, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             queue.after(dueUs - queue.nowUs(), this::arrive);
         }
     }
@@ -78,7 +78,7 @@
         }
         end(response.isRejected());
         if (!link.isCut(Direction.BACK)) {
-            long dueUs = link.dueUs(Direction.BACK, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
+            long dueUs = link.streamDueUs(Direction.BACK, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             queue.after(
                     dueUs - queue.nowUs(),
                     () -> sender.deliver(
@@ -115,7 +115,7 @@
         }
         server.model().connectionClosed();
         // The server learns of it one delay later; a response that it sent before may still arrive.
-        long dueUs = link.dueUs(Direction.THERE, queue.nowUs(), 0);
+        long dueUs = link.streamDueUs(Direction.THERE, queue.nowUs(), 0);
         queue.after(dueUs - queue.nowUs(), this::cancel);
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
@@ -46,7 +46,7 @@
     }
 
     private void scheduleNext(PoissonArrivals arrivals) {
-        long dueUs = arrivals.nextUs();
+        long dueUs = arrivals.nextArrivalUs();
         if (dueUs >= context.scenario.lengthUs()) {
             return;
         }
@@ -77,7 +77,7 @@
         classes.put(id, requestClass);
         context.queue.after(InvariantChecker.responseTimeoutAtUs(deadlineUs) - context.nowUs(), () -> timeOut(client));
         if (!link.isCut(Direction.THERE)) {
-            long dueUs = link.dueUs(Direction.THERE, context.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
+            long dueUs = link.streamDueUs(Direction.THERE, context.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             SimulatedProcess receiver = node.process();
             context.queue.after(
                     dueUs - context.nowUs(),
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -149,8 +149,8 @@
     }
 
     /** Stops a member's process (SIGSTOP), or resumes it (SIGCONT). */
-    public void pause(int number, boolean on) {
-        members.get(number).process().pause(on);
+    public void setPaused(int number, boolean paused) {
+        members.get(number).process().setPaused(paused);
     }
 
     /** Sets which links pass anything, apart from faults. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void serverLinkFault(int node, int server, Fault fault, boolean begins) {
+    public void applyServerLinkFault(int node, int server, Fault fault, boolean begins) {
         SimulatedNodeHandle handle = context.nodes.get(node);
         handle.network().serverLink(server).apply(fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public void clientLinkFault(int node, Fault fault, boolean begins) {
-        super.clientLinkFault(node, fault, begins);
+    public void applyClientLinkFault(int node, Fault fault, boolean begins) {
+        super.applyClientLinkFault(node, fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
             context.clients.resetConnections(context.nodes.get(node));
         }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -29,7 +29,7 @@
                 scenario.cluster().periodUs(), scenario.cluster().probeTimeoutUs());
         cluster = new SimulatedCluster(
                 context.seed,
-                context.parts.membership(settings),
+                context.parts.membershipSettings(settings),
                 scenario.nodes().count(),
                 scenario.nodes().zones(),
                 context.queue,
@@ -75,8 +75,8 @@
         checker.setLiveIncarnation(number, incarnationOf(number));
     }
 
-    void pause(int number, boolean on) {
-        cluster.pause(number, on);
+    void setPaused(int number, boolean paused) {
+        cluster.setPaused(number, paused);
     }
 
     void leave(int number) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
@@ -17,7 +17,7 @@
     void respond(long request, int status, String body);
 
     /** A call of the balancer threw an exception, which a real node survives and never expects. */
-    void moduleFailed(RuntimeException fault);
+    void balancerFailed(RuntimeException fault);
 
     /** Receives what comes back on a connection. */
     interface Callback {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
@@ -47,11 +47,11 @@
             List<ServerEntry> cached,
             NodeParts parts) {
         this.scheduler = scheduler;
-        this.network = parts.network(network);
+        this.network = parts.wrapNetwork(network);
         this.settings = settings;
         connections = new SimulatedConnectionPool(scheduler, this.network, settings.idleTimeoutUs());
-        balancerExecutor = new SerialExecutor(this.network::moduleFailed);
-        balancer = parts.balancer(settings, seed, this);
+        balancerExecutor = new SerialExecutor(this.network::balancerFailed);
+        balancer = parts.createBalancer(settings, seed, this);
         balancerExecutor.execute(() -> balancer.onEndpointUpdate(scheduler.nowUs(), UpdateKind.CACHED, cached));
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -74,7 +74,7 @@
 
     /** Starts a process at once. */
     void start() {
-        nextGeneration();
+        advanceGeneration();
         isStarting = false;
         checker.nodeStarted(nowUs(), number());
         List<EndpointRegistry.Entry> known = context.registry.lastPublished();
@@ -133,20 +133,20 @@
     }
 
     @Override
-    public void pause(boolean on) {
-        if (on && isAlive() && !isPaused()) {
-            process().pause(true);
-            pauseMember(true);
+    public void setPaused(boolean paused) {
+        if (paused && isAlive() && !isPaused()) {
+            process().setPaused(true);
+            setMemberPaused(true);
             beginPauseExcuse();
-        } else if (!on && isPaused()) {
+        } else if (!paused && isPaused()) {
             endPauseExcuse();
-            process().pause(false);
-            pauseMember(false);
+            process().setPaused(false);
+            setMemberPaused(false);
         }
     }
 
-    private void pauseMember(boolean on) {
-        context.membership.ifPresent(membership -> membership.pause(number(), on));
+    private void setMemberPaused(boolean paused) {
+        context.membership.ifPresent(membership -> membership.setPaused(number(), paused));
     }
 
     /** Kills its process, also one that is just starting. */
@@ -154,7 +154,7 @@
     public void kill() {
         isStarting = false;
         if (!isAlive()) {
-            nextGeneration();
+            advanceGeneration();
             return;
         }
         if (isPaused()) {
@@ -173,7 +173,7 @@
         process().kill();
         node = Optional.empty();
         clusterSize = Optional.empty();
-        nextGeneration();
+        advanceGeneration();
         isDraining = false;
         if (restartsAfterDraining) {
             restartsAfterDraining = false;
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -48,12 +48,12 @@
         if (link.blocksHandshakes()) {
             return;
         }
-        long arrivalUs = link.dueUs(Direction.THERE, context.nowUs(), 0);
+        long arrivalUs = link.streamDueUs(Direction.THERE, context.nowUs(), 0);
         context.queue.after(arrivalUs - context.nowUs(), () -> {
             boolean isAccepted =
                     server.isUp() && !link.isReset() && server.model().acceptConnection();
             AttemptResult result = isAccepted ? AttemptResult.OK : AttemptResult.CONNECT_FAILED;
-            long backUs = link.dueUs(Direction.BACK, context.nowUs(), 0);
+            long backUs = link.streamDueUs(Direction.BACK, context.nowUs(), 0);
             context.queue.after(
                     backUs - context.nowUs(), () -> caller.deliver(() -> callback.onComplete(result, 0, "")));
         });
@@ -78,12 +78,12 @@
         if (clientLink.isCut(Direction.BACK)) {
             return;
         }
-        long dueUs = clientLink.dueUs(Direction.BACK, context.nowUs(), MESSAGE_BYTES);
+        long dueUs = clientLink.streamDueUs(Direction.BACK, context.nowUs(), MESSAGE_BYTES);
         context.queue.after(dueUs - context.nowUs(), () -> context.clients.receive(request, status, body));
     }
 
     @Override
-    public void moduleFailed(RuntimeException fault) {
+    public void balancerFailed(RuntimeException fault) {
         context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + fault);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
@@ -62,9 +62,9 @@
     }
 
     /** Pauses it (SIGSTOP), or resumes it and runs what waited (SIGCONT). */
-    void pause(boolean on) {
-        paused = on && !dead;
-        while (!paused && !waitingEvents.isEmpty()) {
+    void setPaused(boolean paused) {
+        this.paused = paused && !dead;
+        while (!this.paused && !waitingEvents.isEmpty()) {
             waitingEvents.poll().run();
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
@@ -19,7 +19,7 @@
 
     /** Runs the scenario with the product's own parts and returns the checker, which has seen all events. */
     public static InvariantChecker run(Scenario scenario, long seed) {
-        return run(scenario, seed, NodeParts.OWN);
+        return run(scenario, seed, NodeParts.PRODUCT);
     }
 
     /** Runs the scenario with nodes made of these parts and returns the checker. */
--- a/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
@@ -30,14 +30,14 @@
                     .replaceFirst("(?m)^settle = .*$", "settle = \"6s\"")
             + TestScenarios.fault("cut", "\"node-1\", \"node-*\"", "1s", "4s", ""));
 
-    private static Optional<ScheduleExplorer.Found> explore(NodeParts parts) throws InterruptedException {
+    private static Optional<ScheduleExplorer.Finding> explore(NodeParts parts) throws InterruptedException {
         return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, MAX_RUNS, 2)
                 .found();
     }
 
     private static void assertFinds(Invariant invariant, NodeParts faulty) throws InterruptedException {
-        ScheduleExplorer.Found found = explore(faulty).orElseThrow(() -> new AssertionError("not found"));
+        ScheduleExplorer.Finding found = explore(faulty).orElseThrow(() -> new AssertionError("not found"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallest().faults().size() <= 1, found.toString());
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
@@ -48,14 +48,14 @@
 
     @Test
     void findsNoViolationInProductMembership() throws InterruptedException {
-        assertEquals(Optional.empty(), explore(NodeParts.OWN));
+        assertEquals(Optional.empty(), explore(NodeParts.PRODUCT));
     }
 
     @Test
     void findsFailureDetectionWithoutSuspicion() throws InterruptedException {
         assertFinds(Invariant.MEMBER_FAILED, new NodeParts() {
             @Override
-            public MembershipSettings membership(MembershipSettings own) {
+            public MembershipSettings membershipSettings(MembershipSettings own) {
                 return new MembershipSettings(
                         own.periodUs(),
                         own.probesPerPeriod(),
@@ -79,7 +79,7 @@
         long never = 100_000_000_000L;
         assertFinds(Invariant.MEMBERS_AGREE, new NodeParts() {
             @Override
-            public MembershipSettings membership(MembershipSettings own) {
+            public MembershipSettings membershipSettings(MembershipSettings own) {
                 return new MembershipSettings(
                         own.periodUs(),
                         own.probesPerPeriod(),
--- a/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
@@ -34,14 +34,15 @@
     private static final long BUDGET_MS = 60_000;
     private static final Scenario SCENARIO = TestScenarios.of(TestScenarios.SMALL);
 
-    private static Optional<ScheduleExplorer.Found> explore(NodeParts parts, int maxRuns) throws InterruptedException {
+    private static Optional<ScheduleExplorer.Finding> explore(NodeParts parts, int maxRuns)
+            throws InterruptedException {
         return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, maxRuns, 2)
                 .found();
     }
 
     private static void assertFinds(Invariant invariant, NodeParts faulty) throws InterruptedException {
-        ScheduleExplorer.Found found = explore(faulty, MAX_RUNS).orElseThrow(() -> new AssertionError("not found"));
+        ScheduleExplorer.Finding found = explore(faulty, MAX_RUNS).orElseThrow(() -> new AssertionError("not found"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallest().faults().size() <= 2, found.toString());
         // The scenario as a file gives the same violation, and none with the product's own parts.
@@ -54,8 +55,8 @@
     /** A balancer whose calls are intercepted. */
     private abstract static class InterceptedBalancer implements NodeParts {
         @Override
-        public LoadBalancer balancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
-            LoadBalancer own = NodeParts.OWN.balancer(settings, seed, actions);
+        public LoadBalancer createBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
+            LoadBalancer own = NodeParts.PRODUCT.createBalancer(settings, seed, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(),
                     new Class<?>[] {LoadBalancer.class},
@@ -77,14 +78,14 @@
         SimulatedNetwork wrap(SimulatedNetwork network);
 
         @Override
-        default SimulatedNetwork network(SimulatedNetwork network) {
+        default SimulatedNetwork wrapNetwork(SimulatedNetwork network) {
             return wrap(network);
         }
     }
 
     @Test
     void findsNoViolationInProduct() throws InterruptedException {
-        Optional<ScheduleExplorer.Found> found = explore(NodeParts.OWN, 60);
+        Optional<ScheduleExplorer.Finding> found = explore(NodeParts.PRODUCT, 60);
         assertEquals(Optional.empty(), found);
     }
 
@@ -154,7 +155,7 @@
             }
         };
         // Safe requests are retried beside the attempt that is still in flight, which is detected first.
-        ScheduleExplorer.Found found = explore(leaks, MAX_RUNS).orElseThrow();
+        ScheduleExplorer.Finding found = explore(leaks, MAX_RUNS).orElseThrow();
         assertTrue(
                 Set.of(Invariant.LEAKED, Invariant.REPEATED)
                         .contains(found.violation().invariant()),
--- a/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
+++ b/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
@@ -37,17 +37,17 @@
     void addsDelaysAndKeepsStreamOrder() {
         Fault slow = fault(Kind.DELAY, FaultDirection.THERE, 0, 1_000);
         link.apply(slow, true);
-        assertEquals(1_100, link.dueUs(Direction.THERE, 0, 10));
-        assertEquals(100, link.dueUs(Direction.BACK, 0, 10));
+        assertEquals(1_100, link.streamDueUs(Direction.THERE, 0, 10));
+        assertEquals(100, link.streamDueUs(Direction.BACK, 0, 10));
         link.apply(slow, false);
-        assertEquals(1_100, link.dueUs(Direction.THERE, 50, 10));
-        assertEquals(1_300, link.dueUs(Direction.THERE, 1_200, 10));
+        assertEquals(1_100, link.streamDueUs(Direction.THERE, 50, 10));
+        assertEquals(1_300, link.streamDueUs(Direction.THERE, 1_200, 10));
     }
 
     @Test
     void queuesChunksUnderRateLimit() {
         link.apply(fault(Kind.RATE, FaultDirection.BOTH, 1_000, 0), true);
-        assertEquals(100 + 500_000, link.dueUs(Direction.THERE, 0, 500));
-        assertEquals(100 + 1_000_000, link.dueUs(Direction.THERE, 0, 500));
+        assertEquals(100 + 500_000, link.streamDueUs(Direction.THERE, 0, 500));
+        assertEquals(100 + 1_000_000, link.streamDueUs(Direction.THERE, 0, 500));
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
@@ -29,7 +29,7 @@
     @Test
     void onlyBaselineHasFalsePositivesUnderLoss() throws Exception {
         ClusterMetrics metrics = new ClusterMetrics();
-        for (String kind : ClusterMetrics.kindNames()) {
+        for (String kind : ClusterMetrics.protocolNames()) {
             metrics.measure(kind, 8, 0.2, 3, 2);
         }
         assertEquals(2 * MembershipFigure.values().length, metrics.rows().size());
@@ -49,11 +49,11 @@
     void onlyBaselineTrafficGrowsWithClusterSize() throws Exception {
         ClusterMetrics metrics = new ClusterMetrics();
         for (int count : new int[] {10, 30}) {
-            for (String kind : ClusterMetrics.kindNames()) {
+            for (String kind : ClusterMetrics.protocolNames()) {
                 metrics.measure(kind, count, 0, 1, 1);
             }
         }
-        for (String kind : ClusterMetrics.kindNames()) {
+        for (String kind : ClusterMetrics.protocolNames()) {
             List<Double> sent = metrics.rows().stream()
                     .filter(r -> r.kind().equals(kind) && r.figure().startsWith("datagrams a second"))
                     .map(Row::median)
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void moduleFailed(RuntimeException fault) {
-        delegate.moduleFailed(fault);
+    public void balancerFailed(RuntimeException fault) {
+        delegate.balancerFailed(fault);
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
@@ -55,15 +55,15 @@
     @Test
     void shortPauseIsToleratedAndLongPauseRecovers() {
         SimulatedCluster cluster = startCluster(7, 50);
-        IntStream.range(10, 15).forEach(i -> cluster.pause(i, true));
+        IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, true));
         cluster.run(3 * SECOND_US);
-        IntStream.range(10, 15).forEach(i -> cluster.pause(i, false));
+        IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, false));
         assertTrue(cluster.runUntilConverged(30 * SECOND_US) >= 0);
         assertEquals(0, failures(cluster, 50));
-        IntStream.range(10, 15).forEach(i -> cluster.pause(i, true));
+        IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, true));
         cluster.run(30 * SECOND_US);
         assertTrue(failures(cluster, 50) > 0, "a pause of 30 s was not detected");
-        IntStream.range(10, 15).forEach(i -> cluster.pause(i, false));
+        IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, false));
         assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "not back");
         assertEquals(
                 50, cluster.view(0).members().stream().filter(Member::isPresent).count());
@@ -75,9 +75,9 @@
         SimulatedCluster cluster = startCluster(11, 20);
         // It runs for 100 ms every two seconds.
         for (int i = 0; i < 100; i++) {
-            cluster.pause(5, true);
+            cluster.setPaused(5, true);
             cluster.run(1_900_000);
-            cluster.pause(5, false);
+            cluster.setPaused(5, false);
             cluster.run(100_000);
         }
         assertEquals(0, failures(cluster, 20));
--- a/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
@@ -103,9 +103,9 @@
         cluster.setLossRate(0);
         cluster.start(3, List.of(0, 1), -3_600_000, "d");
         conflictOfNames();
-        cluster.pause(5, true);
+        cluster.setPaused(5, true);
         cluster.run(12 * S);
-        cluster.pause(5, false);
+        cluster.setPaused(5, false);
         cluster.leave(6);
         cluster.run(10 * S);
         strangersAndForgeries();
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -79,7 +79,7 @@
      */
     private static final NodeParts FAULTY = new NodeParts() {
         @Override
-        public SimulatedNetwork network(SimulatedNetwork network) {
+        public SimulatedNetwork wrapNetwork(SimulatedNetwork network) {
             return new FaultyNetwork(network);
         }
     };
@@ -102,7 +102,7 @@
             answers++;
             super.respond(request, status, answers % 10 == 0 ? "invented" : body);
             if (answers % 50 == 0) {
-                moduleFailed(new IllegalStateException("planted"));
+                balancerFailed(new IllegalStateException("planted"));
             }
         }
     }
@@ -169,9 +169,9 @@
         cluster.setLossRate(0.1);
         cluster.run(10 * second);
         cluster.kill(3);
-        cluster.pause(4, true);
+        cluster.setPaused(4, true);
         cluster.run(10 * second);
-        cluster.pause(4, false);
+        cluster.setPaused(4, false);
         cluster.setLinkFilter((from, to) -> from % 2 == to % 2);
         cluster.run(20 * second);
         cluster.setLinkFilter((from, to) -> true);
