--- a/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
@@ -10,24 +10,24 @@
 import tansypass.testbed.scenario.Scenario.FaultDirection;
 
 /**
- * The links between all pairs of nodes, each direction by itself, by the faults that are active on them. Times
- * are microseconds. Not thread-safe.
+ * The links between all pairs of nodes. Each direction of a link has its own state, which depends on the active faults.
+ * Times are microseconds. Not thread-safe.
  */
 public final class LinkMatrix {
-    /** Which datagrams and connections pass, whatever faults are active; a partition is one. */
+    /** Blocks links independently of faults, such as those between the sides of a partition. */
     public interface Filter {
-        /** Returns whether anything passes from one node to the other. */
+        /** Returns whether datagrams and connections pass from one node to another. */
         boolean passes(int from, int to);
     }
 
     private final long seed;
     private final LongBinaryOperator delayUs;
-    /** Only directions that have had a fault; all others pass everything. */
+    /** By direction, the links that have ever had a fault; all others only add the delay. */
     private final Map<Long, LinkState> links = new HashMap<>();
 
     private Filter filter = (from, to) -> true;
 
-    /** Creates links with no fault; {@code delayUs} gives the delay from one node to another. */
+    /** Creates links without faults; {@code delayUs} returns the delay from one node to another. */
     public LinkMatrix(long seed, LongBinaryOperator delayUs) {
         this.seed = seed;
         this.delayUs = delayUs;
@@ -37,7 +37,7 @@
         return (long) from << Integer.SIZE | to;
     }
 
-    /** Begins or ends a fault on the link from the first node to the second, in the directions that it names. */
+    /** Begins or ends a fault on the link from the first node to the second, in the directions of the fault. */
     public void apply(int first, int second, Fault fault, boolean begins) {
         if (fault.direction() != FaultDirection.BACK) {
             applyOneWay(first, second, fault.withDirection(FaultDirection.BOTH), begins);
@@ -55,23 +55,23 @@
         link.apply(fault, begins);
     }
 
-    /** Sets the filter; there is none at first. */
+    /** Sets the filter; the initial one passes everything. */
     public void setFilter(Filter filter) {
         this.filter = filter;
     }
 
-    /** Returns whether the filter passes anything from one node to the other. */
-    public boolean passes(int from, int to) {
+    /** Returns whether the filter lets datagrams and connections pass from one node to another. */
+    public boolean passesFilter(int from, int to) {
         return filter.passes(from, to);
     }
 
-    /** Returns whether nothing passes from one node to the other, by the filter or a fault. */
+    /** Returns whether the filter or a fault blocks all data from one node to another. */
     public boolean isCut(int from, int to) {
         LinkState link = links.get(key(from, to));
-        return !passes(from, to) || (link != null && link.isCut(Direction.THERE));
+        return !passesFilter(from, to) || (link != null && link.isCut(Direction.THERE));
     }
 
-    /** Returns when copies of a datagram come out, as {@link LinkState#datagramDueUs} does. */
+    /** Returns the arrival times of the copies of a datagram; see {@link LinkState#datagramDueUs}. */
     public List<Long> datagramDueUs(int from, int to, long nowUs, int bytes) {
         LinkState link = links.get(key(from, to));
         return link == null
@@ -79,7 +79,7 @@
                 : link.datagramDueUs(Direction.THERE, nowUs, bytes);
     }
 
-    /** Returns when a piece of a stream comes out, as {@link LinkState#streamDueUs} does. */
+    /** Returns the arrival time of a chunk of a stream; see {@link LinkState#streamDueUs}. */
     public long streamDueUs(int from, int to, long nowUs, int bytes) {
         LinkState link = links.get(key(from, to));
         return link == null ? nowUs + delayUs.applyAsLong(from, to) : link.streamDueUs(Direction.THERE, nowUs, bytes);
--- a/testbed/src/main/java/tansypass/testbed/simulation/BalancerInputs.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/BalancerInputs.java
@@ -11,10 +11,14 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** Translates a scenario and the endpoint list into what the balancer takes, as a real node does from its files. */
+/**
+ * Converts a scenario and the endpoint list to the settings and server entries of a balancer. A real node makes the
+ * same conversion from its configuration file and from discovery's messages.
+ */
 final class BalancerInputs {
     private BalancerInputs() {}
 
+    /** Converts entries of the endpoint list to server entries of the balancer. */
     static List<ServerEntry> serverEntries(Scenario scenario, List<EndpointRegistry.Entry> entries) {
         return entries.stream().map(entry -> serverEntry(scenario, entry)).toList();
     }
@@ -33,6 +37,7 @@
                 entry.bootMs() * 1_000);
     }
 
+    /** Returns the settings of a node's balancer. */
     static BalancerSettings settings(Scenario scenario, int node) {
         List<String> zones = scenario.nodes().zones();
         return BalancerSettings.builder()
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
@@ -18,28 +18,29 @@
 import tansypass.testbed.simulation.FalsePositiveTrial.Result;
 
 /**
- * Measures speed, cost and false positives of membership in virtual time, by protocol and cluster size: median
- * and worst over several seeds. Not thread-safe, but runs trials on several threads.
+ * Measures the speed, the cost and the false positives of membership protocols in virtual time. For each protocol
+ * and cluster size it gives the median and the worst value over several seeds. Not thread-safe, although it runs
+ * the trials on several threads.
  */
 public final class ClusterMetrics {
-    /** The product's protocol, and the baseline that it is compared to. */
+    /** By protocol name: the product's protocol first, then the baseline that it is compared to. */
     private static final Map<String, MembershipFactory> FACTORIES = factories();
 
     private static final Gson JSON = new GsonBuilder().setPrettyPrinting().create();
     private static final int MEDIAN = 50;
-    /** The name of a figure in reports, which scripts read. */
+    /** The name of this figure in reports, which scripts read. */
     private static final String FALSE_POSITIVES = "wrongly failed in an hour";
 
     private final List<Row> rows = new ArrayList<>();
 
     /**
-     * One figure of one protocol and cluster size; the names of the components are keys of reports.
+     * One figure of one protocol and cluster size. The names of the components are keys of JSON reports.
      *
      * @param kind the name of the protocol
-     * @param count how many members the cluster has
-     * @param loss share of datagrams lost, 0 to 1
+     * @param count the number of members of the cluster
+     * @param loss the share of datagrams that are lost, 0 to 1
      * @param figure what was measured, with its unit
-     * @param missing in how many seeds it was never reached; they are in neither median nor worst
+     * @param missing the number of seeds in which the figure was never reached; median and worst exclude them
      */
     public record Row(
             String kind, int count, double loss, String figure, double median, double worst, int seeds, long missing) {}
@@ -51,44 +52,45 @@
         return factories;
     }
 
-    /** Returns the names of the protocols; the first is the product's. */
+    /** Returns the names of all protocols; the first one is the product's. */
     public static List<String> protocolNames() {
         return List.copyOf(FACTORIES.keySet());
     }
 
-    /** Adds each {@link MembershipFigure} of one protocol and cluster size, over the seeds from 1 on. */
-    public void measure(String kind, int count, double loss, int seeds, int threads) throws InterruptedException {
+    /** Adds a row for each {@link MembershipFigure} of one protocol and cluster size, over seeds 1 to {@code seeds}. */
+    public void measure(String protocol, int count, double loss, int seeds, int threads) throws InterruptedException {
         List<Map<MembershipFigure, Double>> trials =
-                runSeeds(seeds, threads, seed -> ConvergenceTrial.run(FACTORIES.get(kind), count, loss, seed));
+                runSeeds(seeds, threads, seed -> ConvergenceTrial.run(FACTORIES.get(protocol), count, loss, seed));
         for (MembershipFigure figure : MembershipFigure.values()) {
             List<Double> values =
                     trials.stream().map(trial -> trial.get(figure)).toList();
-            addRow(kind, count, loss, figure.reportName(), values);
+            addRow(protocol, count, loss, figure.reportName(), values);
         }
     }
 
     /**
-     * Adds the false positives in an hour of one protocol and cluster size, over the seeds from 1 on.
+     * Adds rows for the false positives in an hour of one protocol and cluster size, over the seeds 1 to {@code seeds}.
      *
-     * @param withPauses whether a tenth of the members is paused for 1 to 3 s repeatedly
+     * @param withPauses whether a tenth of the members is repeatedly paused for 1 to 3 s
      */
-    public void measureFalsePositives(String kind, int count, double loss, boolean withPauses, int seeds, int threads)
+    public void measureFalsePositives(
+            String protocol, int count, double loss, boolean withPauses, int seeds, int threads)
             throws InterruptedException {
         List<Result> trials = runSeeds(
-                seeds, threads, seed -> FalsePositiveTrial.run(FACTORIES.get(kind), count, loss, withPauses, seed));
+                seeds, threads, seed -> FalsePositiveTrial.run(FACTORIES.get(protocol), count, loss, withPauses, seed));
         if (withPauses) {
             addRow(
-                    kind,
+                    protocol,
                     count,
                     loss,
                     FALSE_POSITIVES + ", of those that stand still",
-                    figuresOf(trials, Result::ofPausedMembers));
+                    valuesOf(trials, Result::ofPausedMembers));
         }
-        String others = withPauses ? ", of the others" : "";
-        addRow(kind, count, loss, FALSE_POSITIVES + others, figuresOf(trials, Result::ofOtherMembers));
+        String suffix = withPauses ? ", of the others" : "";
+        addRow(protocol, count, loss, FALSE_POSITIVES + suffix, valuesOf(trials, Result::ofOtherMembers));
     }
 
-    private static List<Double> figuresOf(List<Result> trials, ToLongFunction<Result> figure) {
+    private static List<Double> valuesOf(List<Result> trials, ToLongFunction<Result> figure) {
         return trials.stream().map(trial -> (double) figure.applyAsLong(trial)).toList();
     }
 
@@ -104,25 +106,25 @@
             }
             return results;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a trial failed", e.getCause());
+            throw new IllegalStateException("membership trial failed", e.getCause());
         } finally {
             pool.shutdownNow();
         }
     }
 
-    private void addRow(String kind, int count, double loss, String figure, List<Double> values) {
+    private void addRow(String protocol, int count, double loss, String figure, List<Double> values) {
         double[] reached = values.stream()
                 .mapToDouble(Double::doubleValue)
                 .filter(value -> value != ConvergenceTrial.NEVER)
                 .toArray();
-        boolean isMissing = reached.length == 0;
+        boolean isNeverReached = reached.length == 0;
         rows.add(new Row(
-                kind,
+                protocol,
                 count,
                 loss,
                 figure,
-                isMissing ? ConvergenceTrial.NEVER : StatUtils.percentile(reached, MEDIAN),
-                isMissing ? ConvergenceTrial.NEVER : StatUtils.max(reached),
+                isNeverReached ? ConvergenceTrial.NEVER : StatUtils.percentile(reached, MEDIAN),
+                isNeverReached ? ConvergenceTrial.NEVER : StatUtils.max(reached),
                 values.size(),
                 values.size() - reached.length));
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
@@ -8,7 +8,7 @@
 final class ClusterMetricsText {
     private ClusterMetricsText() {}
 
-    /** Returns the rows, with a heading before each series of the same cluster. */
+    /** Returns the rows as text, with a heading before each series of rows of the same cluster. */
     static String format(List<Row> rows) {
         StringBuilder text = new StringBuilder();
         String lastHeading = "";
--- a/testbed/src/main/java/tansypass/testbed/simulation/ConvergenceTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ConvergenceTrial.java
@@ -11,19 +11,20 @@
 import tansypass.cluster.membership.MembershipSettings;
 
 /**
- * Measures each {@link MembershipFigure} of one simulated cluster: its start, its cost without changes, the
- * detection of a failure and the healing of a partition. Runs on the calling thread, in virtual time.
+ * Measures each {@link MembershipFigure} of one simulated cluster. The trial starts the cluster, measures its cost
+ * while no member changes, kills one member, and finally partitions and heals the network. It runs on the calling
+ * thread, in virtual time.
  */
 final class ConvergenceTrial {
-    /** The value of a time that did not end within the timeout. */
+    /** Figure of a duration that exceeded the timeout of 10 minutes. */
     static final double NEVER = -1;
 
     static final List<String> ZONES = List.of("a", "b");
 
     private static final double US_PER_S = 1e6;
     private static final long TIMEOUT_US = 600_000_000;
-    private static final long MEASURED_US = 30_000_000;
-    /** Updates about the start are still being disseminated for a while. */
+    private static final long COST_DURATION_US = 30_000_000;
+    /** Updates about the start of the members are still disseminated for some time after the views are equal. */
     private static final long WARM_UP_US = 60_000_000;
 
     private static final long PARTITION_US = 60_000_000;
@@ -37,10 +38,10 @@
     private ConvergenceTrial(MembershipFactory factory, int memberCount, long seed) {
         this.memberCount = memberCount;
         cluster = newCluster(factory, memberCount, seed);
-        cluster.setViewListener((viewer, entry) -> onViewUpdate(entry));
+        cluster.setViewListener((viewer, entry) -> recordFirstDetection(entry));
     }
 
-    /** Creates a cluster with the default settings, whose members are not started. */
+    /** Creates a cluster with the default settings and the members not started. */
     static SimulatedCluster newCluster(MembershipFactory factory, int memberCount, long seed) {
         return new SimulatedCluster(seed, MembershipSettings.DEFAULT, memberCount, ZONES, new EventQueue(), factory);
     }
@@ -48,8 +49,8 @@
     /**
      * Runs a trial.
      *
-     * @param lossRate share of datagrams lost after the start, 0 to 1
-     * @return all figures; {@link #NEVER} for a time that exceeded 10 minutes
+     * @param lossRate the share of datagrams that are lost once all members have joined, 0 to 1
+     * @return all figures; {@link #NEVER} for a duration that exceeded 10 minutes
      */
     static Map<MembershipFigure, Double> run(MembershipFactory factory, int memberCount, double lossRate, long seed) {
         ConvergenceTrial trial = new ConvergenceTrial(factory, memberCount, seed);
@@ -61,20 +62,21 @@
         return trial.figures;
     }
 
-    private void onViewUpdate(Member entry) {
+    private void recordFirstDetection(Member entry) {
         if (firstDetectionUs == NOT_DETECTED && entry.state() == MemberState.FAILED) {
             firstDetectionUs = cluster.nowUs();
         }
     }
 
-    private double secondsUntilConverged() {
+    /** Runs until all views are equal and returns the seconds that it took, or {@link #NEVER}. */
+    private double runUntilConverged() {
         long elapsedUs = cluster.runUntilConverged(TIMEOUT_US);
         return elapsedUs < 0 ? NEVER : elapsedUs / US_PER_S;
     }
 
     private void measureJoin() {
         cluster.startAll();
-        figures.put(MembershipFigure.JOIN_TIME, secondsUntilConverged());
+        figures.put(MembershipFigure.JOIN_TIME, runUntilConverged());
     }
 
     private void measureCost() {
@@ -83,22 +85,22 @@
         long datagramBytes = cluster.datagramBytesSent();
         long pushPullBytes = cluster.pushPullBytesSent();
         long cpuNs = cpuTimeNs();
-        cluster.run(MEASURED_US);
-        double memberSeconds = MEASURED_US / US_PER_S * memberCount;
+        cluster.run(COST_DURATION_US);
+        double memberSeconds = COST_DURATION_US / US_PER_S * memberCount;
         double cpuUs = (cpuTimeNs() - cpuNs) / 1e3;
         figures.put(MembershipFigure.CPU_TIME, cpuUs / memberSeconds);
         figures.put(MembershipFigure.DATAGRAM_RATE, (cluster.datagramsSent() - datagrams) / memberSeconds);
         figures.put(MembershipFigure.DATAGRAM_BYTE_RATE, (cluster.datagramBytesSent() - datagramBytes) / memberSeconds);
         figures.put(
                 MembershipFigure.PUSH_PULL_BYTE_RATE, (cluster.pushPullBytesSent() - pushPullBytes) / memberSeconds);
-        figures.put(MembershipFigure.FALSE_POSITIVES, (double) countDetections());
+        figures.put(MembershipFigure.FALSE_POSITIVES, (double) countDeclaredFailures());
     }
 
     private static long cpuTimeNs() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private long countDetections() {
+    private long countDeclaredFailures() {
         return IntStream.range(0, memberCount)
                 .mapToLong(i -> cluster.membership(i).counters().get(MembershipCounters.Name.FAILED))
                 .sum();
@@ -106,18 +108,18 @@
 
     private void measureFailureDetection() {
         firstDetectionUs = NOT_DETECTED;
-        long killedUs = cluster.nowUs();
+        long killedAtUs = cluster.nowUs();
         cluster.kill(memberCount / 2);
-        figures.put(MembershipFigure.FULL_DETECTION_TIME, secondsUntilConverged());
+        figures.put(MembershipFigure.FULL_DETECTION_TIME, runUntilConverged());
         figures.put(
                 MembershipFigure.FIRST_DETECTION_TIME,
-                firstDetectionUs == NOT_DETECTED ? NEVER : (firstDetectionUs - killedUs) / US_PER_S);
+                firstDetectionUs == NOT_DETECTED ? NEVER : (firstDetectionUs - killedAtUs) / US_PER_S);
     }
 
     private void measureHealing() {
         cluster.setLinkFilter((from, to) -> from % 2 == to % 2);
         cluster.run(PARTITION_US);
         cluster.setLinkFilter((from, to) -> true);
-        figures.put(MembershipFigure.HEALING_TIME, secondsUntilConverged());
+        figures.put(MembershipFigure.HEALING_TIME, runUntilConverged());
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/EventQueue.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/EventQueue.java
@@ -4,22 +4,22 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * Virtual time in microseconds, which jumps from one event to the next; events due at the same time run in the
- * order in which they were scheduled. Not thread-safe.
+ * A scheduler in virtual time, which jumps from each event to the next one. Events that are due at the same time run
+ * in the order in which they were scheduled. Times are microseconds. Not thread-safe.
  */
 public final class EventQueue implements Scheduler {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowUs;
-    private long scheduled;
+    private long scheduledCount;
 
     private static final class Event implements Timer, Comparable<Event> {
-        private final long atUs;
-        private final long order;
+        private final long dueUs;
+        private final long sequence;
         private Runnable task;
 
-        Event(long atUs, long order, Runnable task) {
-            this.atUs = atUs;
-            this.order = order;
+        Event(long dueUs, long sequence, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -30,8 +30,8 @@
 
         @Override
         public int compareTo(Event other) {
-            int byTime = Long.compare(atUs, other.atUs);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Long.compare(dueUs, other.dueUs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -42,17 +42,17 @@
 
     @Override
     public Timer after(long delayUs, Runnable task) {
-        Event event = new Event(nowUs + Math.max(0, delayUs), scheduled++, task);
+        Event event = new Event(nowUs + Math.max(0, delayUs), scheduledCount++, task);
         events.add(event);
         return event;
     }
 
-    /** Runs all events due up to this time, which is the present time afterwards. */
+    /** Runs all events that are due until {@code untilUs} and advances virtual time to {@code untilUs}. */
     public void runUntil(long untilUs) {
-        for (Event next = events.peek(); next != null && next.atUs <= untilUs; next = events.peek()) {
+        for (Event next = events.peek(); next != null && next.dueUs <= untilUs; next = events.peek()) {
             events.poll();
             if (next.task != null) {
-                nowUs = next.atUs;
+                nowUs = next.dueUs;
                 Runnable task = next.task;
                 next.task = null;
                 task.run();
--- a/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/FalsePositiveTrial.java
@@ -7,7 +7,7 @@
 import tansypass.testbed.model.ProcessNames;
 
 /**
- * Counts false positives of failure detection in an hour of one simulated cluster, whose members are all alive.
+ * Counts the false positives of failure detection in one hour of a simulated cluster whose members all stay alive.
  * Runs on the calling thread, in virtual time.
  */
 final class FalsePositiveTrial {
@@ -16,7 +16,7 @@
     private static final long DURATION_US = 3_600 * SECOND_US;
     private static final long MIN_PAUSE_US = SECOND_US;
     private static final long MIN_RUN_US = 5 * SECOND_US;
-    /** One in so many members is paused repeatedly, if any are. */
+    /** In a trial with pauses, one member in 10 is repeatedly paused. */
     private static final int PAUSED_RATIO = 10;
 
     private final SimulatedCluster cluster;
@@ -33,24 +33,24 @@
         cluster = ConvergenceTrial.newCluster(factory, memberCount, seed);
         cluster.setViewListener((viewer, entry) -> {
             if (entry.state() == MemberState.FAILED) {
-                count(entry.identity().name());
+                countFalsePositive(entry.identity().name());
             }
         });
     }
 
     /**
-     * How often members were declared failed, in all views together.
+     * The number of times that members were declared failed, summed over all views.
      *
-     * @param ofPausedMembers members that were paused repeatedly
-     * @param ofOtherMembers members that were never paused
+     * @param ofPausedMembers declarations about members that were repeatedly paused
+     * @param ofOtherMembers declarations about members that were never paused
      */
     record Result(long ofPausedMembers, long ofOtherMembers) {}
 
     /**
      * Runs a trial.
      *
-     * @param lossRate share of datagrams lost after the start, 0 to 1
-     * @param withPauses whether a tenth of the members is paused for 1 to 3 s repeatedly
+     * @param lossRate the share of datagrams that are lost once all members have joined, 0 to 1
+     * @param withPauses whether a tenth of the members is repeatedly paused for 1 to 3 s
      */
     static Result run(MembershipFactory factory, int memberCount, double lossRate, boolean withPauses, long seed) {
         FalsePositiveTrial trial = new FalsePositiveTrial(factory, memberCount, withPauses, seed);
@@ -79,7 +79,7 @@
         return withPauses && number % PAUSED_RATIO == 1;
     }
 
-    private void count(String name) {
+    private void countFalsePositive(String name) {
         if (isPausedRepeatedly(ProcessNames.numberOf(name))) {
             ofPausedMembers++;
         } else {
--- a/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
@@ -8,10 +8,10 @@
 import tansypass.testbed.model.LinkState.Direction;
 import tansypass.testbed.model.WebServer;
 
-/** One attempt of a request on its way from a node to a server, and its response on the way back. */
+/** An attempt on its way from a node to a server, its execution there, and its response on the way back. */
 final class InFlightMessage implements SimulatedNetwork.OutboundRequest {
     private static final int NO_ATTEMPT = -1;
-    private static final int OK = 200;
+    private static final int STATUS_OK = 200;
 
     private final SimulationContext context;
     private final InvariantChecker checker;
@@ -21,8 +21,8 @@
     private final String id;
     private final boolean isFirstOnConnection;
     private final SimulatedNetwork.Callback callback;
-    private final SimulatedProcess sender;
-    /** Empty until the message arrives. */
+    private final SimulatedProcess senderProcess;
+    /** Empty until the message arrives at the server. */
     private Optional<WebServer.Execution> execution = Optional.empty();
 
     private int attempt = NO_ATTEMPT;
@@ -33,7 +33,7 @@
             SimulationContext context,
             SimulatedServer server,
             LinkState link,
-            SimulatedProcess sender,
+            SimulatedProcess senderProcess,
             long request,
             boolean isFirstOnConnection,
             SimulatedNetwork.Callback callback) {
@@ -42,13 +42,13 @@
         queue = context.queue;
         this.server = server;
         this.link = link;
-        this.sender = sender;
+        this.senderProcess = senderProcess;
         id = HexFormat.of().toHexDigits(request);
         this.isFirstOnConnection = isFirstOnConnection;
         this.callback = callback;
     }
 
-    /** Sends it. */
+    /** Sends the message on its link. */
     void start() {
         server.add(this);
         if (link.isReset() || !server.isUp()) {
@@ -73,7 +73,7 @@
         if (isOver) {
             return;
         }
-        if (response.status() == OK) {
+        if (response.status() == STATUS_OK) {
             checker.responseProduced(queue.nowUs(), id, server.number(), response.body());
         }
         end(response.isRejected());
@@ -81,7 +81,7 @@
             long dueUs = link.streamDueUs(Direction.BACK, queue.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             queue.after(
                     dueUs - queue.nowUs(),
-                    () -> sender.deliver(
+                    () -> senderProcess.deliver(
                             () -> callback.onComplete(AttemptResult.OK, response.status(), response.body())));
         }
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Its connection is reset; the node learns of it unless the link is half open. */
+    /** Resets the connection of this message. The node is notified unless the link is half-open. */
     void reset() {
         if (isOver) {
             return;
@@ -104,7 +104,7 @@
         }
         end(false);
         if (!link.isHalfOpen()) {
-            sender.deliver(() -> callback.onComplete(AttemptResult.RESET, 0, ""));
+            senderProcess.deliver(() -> callback.onComplete(AttemptResult.RESET, 0, ""));
         }
     }
 
@@ -114,12 +114,12 @@
             return;
         }
         server.model().connectionClosed();
-        // The server learns of it one delay later; a response that it sent before may still arrive.
+        // The close reaches the server one link delay later. A response that the server sent before may still arrive.
         long dueUs = link.streamDueUs(Direction.THERE, queue.nowUs(), 0);
-        queue.after(dueUs - queue.nowUs(), this::cancel);
+        queue.after(dueUs - queue.nowUs(), this::cancelExecution);
     }
 
-    private void cancel() {
+    private void cancelExecution() {
         if (isOver) {
             return;
         }
--- a/testbed/src/main/java/tansypass/testbed/simulation/MembershipFactory.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/MembershipFactory.java
@@ -6,9 +6,9 @@
 
 /** Creates the membership protocol of each member of a {@link SimulatedCluster}. */
 public interface MembershipFactory {
-    /** The protocol of the product. */
+    /** Creates the product's protocol. */
     MembershipFactory SWIM = SwimProtocol::new;
 
-    /** Creates a protocol instance that has not started. */
+    /** Creates a protocol instance that is not started. */
     Membership create(MembershipEnvironment environment);
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/MembershipFigure.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/MembershipFigure.java
@@ -1,24 +1,24 @@
 package tansypass.testbed.simulation;
 
-/** What a {@link ConvergenceTrial} measures, in the order of reports. */
+/** The figures that a {@link ConvergenceTrial} measures, in the order of reports. */
 public enum MembershipFigure {
     /** Time from a simultaneous start until all views are equal, in seconds. */
     JOIN_TIME("all agree after a start at once, s"),
-    /** Time until a first member detects a failure, in seconds. */
+    /** Time from the death of a member until the first other member detects it, in seconds. */
     FIRST_DETECTION_TIME("a death is seen by the first, s"),
-    /** Time until all members have detected it, in seconds. */
+    /** Time from the death of a member until all other members have detected it, in seconds. */
     FULL_DETECTION_TIME("and by all, s"),
-    /** Time until all views are equal after a partition in halves of 60 s, in seconds. */
+    /** Time from the end of a partition, which separates two halves for 60 s, until all views are equal, in seconds. */
     HEALING_TIME("all agree after a partition in halves of 60 s, s"),
-    /** Datagrams per second and member, without changes of the membership. */
+    /** Datagrams per second and member while the membership does not change. */
     DATAGRAM_RATE("datagrams a second of a process at rest"),
-    /** Bytes in these datagrams per second and member. */
+    /** Bytes of datagrams per second and member while the membership does not change. */
     DATAGRAM_BYTE_RATE("bytes a second of them"),
-    /** Bytes of push-pull syncs per second and member, without changes of the membership. */
+    /** Bytes of push-pull syncs per second and member while the membership does not change. */
     PUSH_PULL_BYTE_RATE("bytes a second of full exchanges"),
-    /** CPU time, the network's model included, per second and member, in microseconds. */
+    /** CPU time per second and member in microseconds; includes the cost of the simulated network. */
     CPU_TIME("processor time a second of a process at rest, us"),
-    /** How often members were declared failed before one did fail, in all views together. */
+    /** Number of times that live members were declared failed before a member died, summed over all views. */
     FALSE_POSITIVES("wrongly failed in 90 s");
 
     private final String reportName;
@@ -27,7 +27,7 @@
         this.reportName = reportName;
     }
 
-    /** Returns the name in reports, which is part of their JSON. */
+    /** Returns the name of the figure in tables and JSON reports. */
     public String reportName() {
         return reportName;
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/NodeParts.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/NodeParts.java
@@ -6,22 +6,22 @@
 import tansypass.balancer.WeightedTwoChoicesLoadBalancer;
 import tansypass.cluster.membership.MembershipSettings;
 
-/** Makes the parts of a simulated node; a test replaces one by a faulty one. */
+/** Creates the parts of a simulated node. Tests replace one of them by a faulty part. */
 public interface NodeParts {
-    /** The product's own parts. */
+    /** Creates the product's parts, without any fault. */
     NodeParts PRODUCT = new NodeParts() {};
 
-    /** Makes the balancer of a node. */
+    /** Creates the balancer of a node. */
     default LoadBalancer createBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
         return new WeightedTwoChoicesLoadBalancer(settings, seed, actions);
     }
 
-    /** Returns the settings of the nodes' membership protocol. */
+    /** Returns the settings of the membership protocol, given those of the scenario. */
     default MembershipSettings membershipSettings(MembershipSettings settings) {
         return settings;
     }
 
-    /** Returns the network that a node gets, given the one of the run. */
+    /** Returns the network that a node uses: the run's network or a wrapper around it. */
     default SimulatedNetwork wrapNetwork(SimulatedNetwork network) {
         return network;
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SerialExecutor.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SerialExecutor.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Runs calls on the calling thread, one after the other: a call that is made during another one waits until
- * that has returned. Not thread-safe.
+ * Runs calls on the calling thread, one after the other. A call that is submitted while another one runs starts only
+ * after the running one has returned. Not thread-safe.
  */
 final class SerialExecutor implements Executor {
     private final Consumer<RuntimeException> errorHandler;
@@ -15,12 +15,12 @@
     private boolean isRunning;
     private boolean isShutDown;
 
-    /** Creates an executor; {@code errorHandler} receives what calls throw. */
+    /** Creates an executor; {@code errorHandler} receives the exceptions that calls throw. */
     SerialExecutor(Consumer<RuntimeException> errorHandler) {
         this.errorHandler = errorHandler;
     }
 
-    /** Runs a call at once or after the one in progress; after {@link #shutdown} it is dropped. */
+    /** Runs a call at once, or after the running one. Drops the call if {@link #shutdown} was called. */
     @Override
     public void execute(Runnable call) {
         if (isShutDown) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Accepts no more calls; those that are pending still run. */
+    /** Drops all calls that are submitted from now on; pending ones still run. */
     void shutdown() {
         isShutDown = true;
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedAttempt.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedAttempt.java
@@ -5,7 +5,7 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.cluster.runtime.Scheduler;
 
-/** An attempt of a {@link SimulatedRequest} at a server: its connection, its timers and its result. */
+/** An attempt of a {@link SimulatedRequest} at one server, with its connection, timers and result. */
 final class SimulatedAttempt {
     private static final int STATUS_OK = 200;
     private static final int STATUS_SERVER_ERROR = 500;
@@ -34,19 +34,19 @@
         startedUs = scheduler.nowUs();
     }
 
-    /** Returns whether the request was written on a connection. */
+    /** Returns whether the request was written on a connection, so that the server may have received it. */
     boolean isWritten() {
         return isWritten;
     }
 
-    /** Sends the request, on an idle connection or a new one. */
+    /** Sends the request on an idle connection or a new one; {@code attemptDeadlineUs} of 0 or less means none. */
     void start(long attemptDeadlineUs) {
         long endUs = Math.min(attemptDeadlineUs <= 0 ? Long.MAX_VALUE : attemptDeadlineUs, request.deadlineUs());
         if (request.isOver() || scheduler.nowUs() >= endUs) {
             endWithoutResponse(AttemptResult.NOT_SENT);
             return;
         }
-        deadlineTimer = Optional.of(scheduler.after(endUs - scheduler.nowUs(), this::timeOut));
+        deadlineTimer = Optional.of(scheduler.after(endUs - scheduler.nowUs(), this::onTimeout));
         if (node.connections().acquire(server)) {
             write(false);
         } else {
@@ -54,7 +54,7 @@
         }
     }
 
-    private void timeOut() {
+    private void onTimeout() {
         endWithoutResponse(isWritten ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED);
     }
 
@@ -104,20 +104,20 @@
         };
     }
 
-    /** Ends the attempt with no complete response, unless it has ended, and informs the balancer. */
+    /** Ends the attempt without a complete response and reports the result to the balancer, unless it is over. */
     void endWithoutResponse(AttemptResult result) {
         end(result, "");
     }
 
-    /** Ends the attempt, unless it has ended: responds to the client on success and informs the balancer. */
+    /** Ends the attempt, responds to the client if it succeeded, and reports the result to the balancer. */
     private void end(AttemptResult result, String body) {
         if (isOver || node.isStopped()) {
             return;
         }
         isOver = true;
-        request.attemptEnded();
+        request.onAttemptEnded();
         deadlineTimer.ifPresent(Scheduler.Timer::cancel);
-        if (!isResponse(result)) {
+        if (!isCompleteResponse(result)) {
             outbound.ifPresent(SimulatedNetwork.OutboundRequest::close);
         }
         if (result == AttemptResult.OK) {
@@ -128,12 +128,12 @@
         node.reportOutcome(() -> new AttemptOutcome(request.id(), number, result, elapsedUs, request.isOver(), null));
     }
 
-    /** Returns whether it is the result of a complete response, after which the connection can be reused. */
-    private static boolean isResponse(AttemptResult result) {
+    /** Returns whether the server sent a complete response, after which the connection can be reused. */
+    private static boolean isCompleteResponse(AttemptResult result) {
         return result == AttemptResult.OK || result == AttemptResult.ERROR || result == AttemptResult.OVERLOADED;
     }
 
-    /** Stops the timer and closes the connection in use: the node's process has ended. */
+    /** Stops the timer and closes the connection in use, because the node's process has ended. */
     void abort() {
         deadlineTimer.ifPresent(Scheduler.Timer::cancel);
         if (!isOver) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
@@ -14,16 +14,19 @@
 import tansypass.testbed.model.PoissonArrivals;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** The load of a simulated run: sends requests in an open loop and waits for their responses. */
+/** The clients of a simulated run, which send requests in an open loop and wait for their responses. */
 final class SimulatedClients {
     private final SimulationContext context;
     private final InvariantChecker checker;
-    /** By id, the requests that wait for their response. */
-    private final Map<String, Client> waiting = new LinkedHashMap<>();
-    /** By id, until the last client has timed out: an attempt may arrive after its client has its response. */
+    /** By request id, the clients that wait for their response. */
+    private final Map<String, Client> waitingClients = new LinkedHashMap<>();
+    /**
+     * By request id, the class of the request. An entry stays until the client's timeout, because an attempt can reach
+     * a server after the client has received its response.
+     */
     private final Map<String, RequestClass> classes = new HashMap<>();
 
-    /** A client that waits for the response to its one request. */
+    /** A client with one request, sent to one process of a node. */
     private record Client(String id, int node, int generation) {
         long requestId() {
             return HexFormat.fromHexDigitsToLong(id);
@@ -35,7 +38,7 @@
         checker = context.checker;
     }
 
-    /** Starts the load, which lasts for the scenario's length. */
+    /** Starts to send requests, for the length of the scenario. */
     void start() {
         PoissonArrivals arrivals = new PoissonArrivals(
                 context.scenario.clients().requestsPerS(),
@@ -59,7 +62,7 @@
     private void send(RequestClass requestClass, long request, long intendedUs) {
         int number = context.clientLoadBalancer.selectNode();
         if (number == ClientLoadBalancer.NO_NODE
-                || waiting.size() >= context.scenario.clients().maxOpenRequests()) {
+                || waitingClients.size() >= context.scenario.clients().maxOpenRequests()) {
             checker.requestNotSent(context.nowUs(), intendedUs);
             return;
         }
@@ -73,7 +76,7 @@
             return;
         }
         Client client = new Client(id, number, node.generation());
-        waiting.put(id, client);
+        waitingClients.put(id, client);
         classes.put(id, requestClass);
         context.queue.after(InvariantChecker.responseTimeoutAtUs(deadlineUs) - context.nowUs(), () -> timeOut(client));
         if (!link.isCut(Direction.THERE)) {
@@ -92,41 +95,41 @@
 
     private void timeOut(Client client) {
         classes.remove(client.id);
-        if (waiting.remove(client.id, client)) {
+        if (waitingClients.remove(client.id, client)) {
             checker.responseTimedOut(context.nowUs(), client.id);
         }
     }
 
-    /** A response reaches the client; one that comes too late is dropped. */
+    /** Delivers a response to its client, or drops it if the client no longer waits. */
     void receive(long request, int status, String body) {
         String id = HexFormat.of().toHexDigits(request);
-        if (waiting.remove(id) != null) {
+        if (waitingClients.remove(id) != null) {
             checker.responseReceived(context.nowUs(), id, status, body);
         }
     }
 
-    /** The connections to a process of a node break because it was killed. */
+    /** Breaks the connections to a process of a node, which was killed. */
     void breakConnections(int node, int generation) {
-        for (Client client : new ArrayList<>(waiting.values())) {
+        for (Client client : new ArrayList<>(waitingClients.values())) {
             if (client.node == node && client.generation == generation) {
-                waiting.remove(client.id);
+                waitingClients.remove(client.id);
                 checker.connectionBroken(context.nowUs(), client.id, false);
             }
         }
     }
 
-    /** The connections to a node are reset on their link, and the node notices. */
+    /** Resets the connections on the link to a node, and notifies both the clients and the node. */
     void resetConnections(SimulatedNodeHandle node) {
-        for (Client client : List.copyOf(waiting.values())) {
+        for (Client client : List.copyOf(waitingClients.values())) {
             if (client.node == node.number() && node.isAlive()) {
-                waiting.remove(client.id);
+                waitingClients.remove(client.id);
                 checker.connectionBroken(context.nowUs(), client.id, false);
                 node.process().deliver(() -> node.node().onClientDisconnect(client.requestId()));
             }
         }
     }
 
-    /** Returns the class of a request; of one that no client sent, the first class. */
+    /** Returns the class of a request, or the first class if no client sent this request. */
     RequestClass classOf(String id) {
         return classes.getOrDefault(id, context.scenario.classes().get(0));
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -21,7 +21,7 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * A cluster whose members run the membership protocol in virtual time, over a {@link SimulatedClusterNetwork}.
+ * A cluster whose members run a membership protocol in virtual time, over a {@link SimulatedClusterNetwork}.
  * Members are numbered from 0. Equal seeds and equal calls give equal traces. Not thread-safe.
  */
 public final class SimulatedCluster {
@@ -41,12 +41,12 @@
     private final TraceDigest trace = new TraceDigest();
     private ViewListener viewListener = (viewer, entry) -> {};
 
-    /** Creates a cluster of SWIM members with a virtual time of its own; no member is started yet. */
+    /** Creates a cluster of SWIM members with its own event queue; no member is started yet. */
     public SimulatedCluster(long seed, MembershipSettings settings, int count, List<String> zones) {
         this(seed, settings, count, zones, new EventQueue(), MembershipFactory.SWIM);
     }
 
-    /** Creates a cluster of members of this factory in the virtual time of {@code queue}; none is started yet. */
+    /** Creates a cluster on the event queue of a run, with members from {@code factory}; no member is started yet. */
     SimulatedCluster(
             long seed,
             MembershipSettings settings,
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Adds a member of this name, which is not started yet, and returns its number. */
+    /** Adds a member that is not started yet, and returns its number. Two members may have the same name. */
     public int add(String name) {
         SimulatedMember member = new SimulatedMember(members.size(), name);
         members.add(member);
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Starts a process of a member.
+     * Starts a new process of a member.
      *
-     * @param seeds the numbers of the members that it joins through
-     * @param clockOffsetMs how far its wall clock is ahead, in milliseconds
+     * @param seeds the numbers of the members through which it joins
+     * @param clockOffsetMs the lead of its wall clock over virtual time, in milliseconds; negative for a lag
      */
     public void start(int number, List<Integer> seeds, long clockOffsetMs, String deployment) {
         SimulatedMember member = members.get(number);
@@ -93,8 +93,9 @@
                 deployment,
                 MessageCodec.VERSION,
                 MessageCodec.VERSION);
-        List<InetSocketAddress> seedAddresses =
-                seeds.stream().map(s -> members.get(s).address()).toList();
+        List<InetSocketAddress> seedAddresses = seeds.stream()
+                .map(memberNumber -> members.get(memberNumber).address())
+                .toList();
         MemberListener listener = new TracingListener(number);
         MembershipEnvironment environment = new MembershipEnvironment(
                 settings, identity, seedAddresses, member.process(), random, network.endpointOf(member), listener);
@@ -102,7 +103,7 @@
         member.membership().start();
     }
 
-    /** Adds each change of one member's view to the trace, and forwards it. */
+    /** Adds each change of one member's view to the trace, and forwards it to the view listener. */
     private final class TracingListener implements MemberListener {
         private final int viewer;
 
@@ -129,7 +130,7 @@
         }
     }
 
-    /** Starts all members at once; they join through member 0. */
+    /** Starts all members at the same time; they join through member 0. */
     public void startAll() {
         for (SimulatedMember member : members) {
             start(member.number(), List.of(0), 0, DEFAULT_DEPLOYMENT);
@@ -142,18 +143,18 @@
         members.get(number).membership().stop();
     }
 
-    /** Lets a member leave the cluster, and ends its process. */
+    /** Makes a member leave the cluster gracefully, and ends its process. */
     public void leave(int number) {
         members.get(number).membership().leave();
         members.get(number).process().kill();
     }
 
-    /** Stops a member's process (SIGSTOP), or resumes it (SIGCONT). */
+    /** Pauses a member's process (SIGSTOP) or resumes it (SIGCONT). */
     public void setPaused(int number, boolean paused) {
         members.get(number).process().setPaused(paused);
     }
 
-    /** Sets which links pass anything, apart from faults. */
+    /** Sets the filter that blocks links, such as for a partition; faults act in addition. */
     public void setLinkFilter(LinkMatrix.Filter filter) {
         network.setLinkFilter(filter);
     }
@@ -163,12 +164,12 @@
         network.applyFault(first, second, fault, begins);
     }
 
-    /** Sets the share of datagrams, 0 to 1, that are lost from now on. */
+    /** Sets the share of datagrams that are lost from now on, 0 to 1. */
     public void setLossRate(double lossRate) {
         network.setLossRate(lossRate);
     }
 
-    /** Delivers a datagram that no member has sent. */
+    /** Delivers a datagram that no member has sent, from an unknown address. */
     public void injectDatagram(int to, byte[] datagram) {
         SimulatedMember receiver = members.get(to);
         receiver.process().deliver(() -> {
@@ -177,7 +178,7 @@
         });
     }
 
-    /** Sets the listener for changes of all views. */
+    /** Sets the listener that receives the changes of all views. */
     public void setViewListener(ViewListener listener) {
         viewListener = listener;
     }
@@ -188,22 +189,22 @@
     }
 
     /**
-     * Runs until {@link #hasConverged}.
+     * Runs until the cluster {@link #hasConverged}, or until the timeout.
      *
-     * @return the time that it took, or -1 if it took longer than the timeout; in microseconds
+     * @return the elapsed time in microseconds, or -1 after the timeout
      */
     public long runUntilConverged(long timeoutUs) {
-        long fromUs = queue.nowUs();
+        long startUs = queue.nowUs();
         while (!hasConverged()) {
-            if (queue.nowUs() - fromUs >= timeoutUs) {
+            if (queue.nowUs() - startUs >= timeoutUs) {
                 return -1;
             }
             run(settings.periodUs() / CONVERGENCE_CHECKS_PER_PERIOD);
         }
-        return queue.nowUs() - fromUs;
+        return queue.nowUs() - startUs;
     }
 
-    /** Returns whether all members that are up have equal views, with just these members present. */
+    /** Returns whether all members that are up have equal views, in which exactly these members are present. */
     public boolean hasConverged() {
         List<SimulatedMember> up =
                 members.stream().filter(SimulatedMember::isUp).toList();
@@ -213,17 +214,17 @@
                 && first.members().stream().filter(Member::isPresent).count() == up.size();
     }
 
-    /** Returns the virtual time, in microseconds. */
+    /** Returns the present virtual time, in microseconds. */
     public long nowUs() {
         return queue.nowUs();
     }
 
-    /** Returns the protocol of a member of a SWIM cluster. */
+    /** Returns the protocol instance of a member, which must run SWIM. */
     public SwimProtocol swimProtocol(int number) {
         return (SwimProtocol) membership(number);
     }
 
-    /** Returns the protocol of a member. */
+    /** Returns the protocol instance of a member. */
     public Membership membership(int number) {
         return members.get(number).membership();
     }
@@ -238,17 +239,17 @@
         return members.get(number).isUp();
     }
 
-    /** Returns how many datagrams members have sent so far, lost ones included. */
+    /** Returns the number of datagrams that members have sent so far, including lost ones. */
     public long datagramsSent() {
         return network.datagramsSent();
     }
 
-    /** Returns how many bytes these datagrams had. */
+    /** Returns the number of bytes in the datagrams that members have sent so far, including lost ones. */
     public long datagramBytesSent() {
         return network.datagramBytesSent();
     }
 
-    /** Returns how many bytes push-pull syncs have transferred so far. */
+    /** Returns the number of bytes that push-pull syncs have sent so far. */
     public long pushPullBytesSent() {
         return network.pushPullBytesSent();
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
@@ -13,15 +13,15 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * The network between the members of a {@link SimulatedCluster}: it delays datagrams and push-pull syncs, loses
+ * The network between the members of a {@link SimulatedCluster}. It delays datagrams and push-pull syncs, loses
  * datagrams and blocks links. Times are microseconds. Used on the event queue's thread only.
  */
 final class SimulatedClusterNetwork {
-    /** After this time without a response, a push-pull sync has failed. */
+    /** A push-pull sync without a response fails after this time. */
     private static final long PUSH_PULL_TIMEOUT_US = 1_000_000;
-    /** How many datagrams the kernel buffers for a stopped process; more are lost. */
+    /** The number of datagrams that the kernel buffers for a paused process; further ones are lost. */
     private static final int RECEIVE_BUFFER_DATAGRAMS = 300;
-    /** A transit takes this time at least, and less than twice as long, without faults. */
+    /** Without faults, a transit takes at least this time and less than twice this time. */
     private static final long MIN_TRANSIT_US = 500;
 
     private final EventQueue queue;
@@ -40,17 +40,17 @@
         random = RandomStreams.of(seed, "network");
     }
 
-    /** Connects a member. */
+    /** Connects a member to the network. */
     void add(SimulatedMember member) {
         membersByAddress.put(member.address(), member);
     }
 
-    /** Returns the network as this member uses it. */
+    /** Returns a member's interface to the network. */
     Network endpointOf(SimulatedMember member) {
         return new Endpoint(member);
     }
 
-    /** Sets which links pass anything, apart from faults. */
+    /** Sets the filter that blocks links, such as for a partition; faults act in addition. */
     void setLinkFilter(LinkMatrix.Filter filter) {
         links.setFilter(filter);
     }
@@ -60,7 +60,7 @@
         links.apply(first, second, fault, begins);
     }
 
-    /** Sets the share of datagrams, 0 to 1, that are lost. */
+    /** Sets the share of datagrams that are lost, 0 to 1. */
     void setLossRate(double lossRate) {
         this.lossRate = lossRate;
     }
@@ -81,17 +81,17 @@
         return MIN_TRANSIT_US + random.nextLong(MIN_TRANSIT_US);
     }
 
-    /** A connection needs both directions. */
+    /** Returns whether two members cannot exchange data on a connection, which needs both directions of the link. */
     private boolean isConnectionBlocked(SimulatedMember from, SimulatedMember to) {
         return links.isCut(from.number(), to.number()) || links.isCut(to.number(), from.number());
     }
 
-    /** Returns by how much faults delay a message on a connection. */
+    /** Returns the delay that faults add to a message on a connection. */
     private long connectionDelayUs(SimulatedMember from, SimulatedMember to, int bytes) {
         return links.streamDueUs(from.number(), to.number(), queue.nowUs(), bytes) - queue.nowUs();
     }
 
-    /** The network of one member. */
+    /** The interface of one member to the network. */
     private final class Endpoint implements Network {
         private final SimulatedMember local;
 
@@ -105,7 +105,7 @@
             datagramBytesSent += datagram.length;
             SimulatedMember receiver = membersByAddress.get(to);
             if (receiver == null
-                    || !links.passes(local.number(), receiver.number())
+                    || !links.passesFilter(local.number(), receiver.number())
                     || random.nextDouble() < lossRate) {
                 return;
             }
@@ -120,7 +120,7 @@
                 return;
             }
             SimulatedProcess process = receiver.process();
-            if (!process.isPaused() || process.waiting() < RECEIVE_BUFFER_DATAGRAMS) {
+            if (!process.isPaused() || process.pendingEventCount() < RECEIVE_BUFFER_DATAGRAMS) {
                 Membership membership = receiver.membership();
                 process.deliver(() -> membership.onDatagram(local.address(), datagram));
             }
@@ -136,7 +136,7 @@
                 return;
             }
             Membership membership = peer.membership();
-            // The handshake and the request: two transits.
+            // Two transits: one for the handshake and one for the request.
             queue.after(
                     2 * drawTransitUs() + connectionDelayUs(local, peer, body.length),
                     () -> peer.process().deliver(() -> respond(peer, membership, body, response)));
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Delivers the first result of a push-pull sync, response or timeout, to the process that started it. */
+    /** Delivers the first result of a push-pull sync, a response or a timeout, to the process that started it. */
     private static final class PushPullCallback {
         private final SimulatedProcess caller;
         private final Consumer<Optional<byte[]>> callback;
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedConnectionPool.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedConnectionPool.java
@@ -6,26 +6,29 @@
 import java.util.Map;
 import tansypass.cluster.runtime.Scheduler;
 
-/** The idle connections of a simulated node to servers. Used on the event queue's thread only. */
+/** The pool of a simulated node's idle connections to servers. Used on the event queue's thread only. */
 final class SimulatedConnectionPool {
     private final Scheduler scheduler;
     private final SimulatedNetwork network;
     private final long idleTimeoutUs;
-    /** By server, since when each idle connection has been idle, the last released first. */
-    private final Map<String, Deque<Long>> idleSinceUs = new HashMap<>();
+    /** By server, the times at which its idle connections were released, the most recent first. */
+    private final Map<String, Deque<Long>> releaseTimesUs = new HashMap<>();
 
     private boolean isClosed;
 
-    /** Creates an empty pool; a connection that was idle for {@code idleTimeoutUs} is not used again. */
+    /** Creates an empty pool, which does not reuse connections that were idle for {@code idleTimeoutUs} or longer. */
     SimulatedConnectionPool(Scheduler scheduler, SimulatedNetwork network, long idleTimeoutUs) {
         this.scheduler = scheduler;
         this.network = network;
         this.idleTimeoutUs = idleTimeoutUs;
     }
 
-    /** Takes an idle connection to a server, if there is one, and closes those that were idle for too long. */
+    /**
+     * Takes the most recently used idle connection to a server and returns true, or returns false if there is none.
+     * Expired connections that it meets are closed.
+     */
     boolean acquire(String server) {
-        Deque<Long> idle = idleSinceUs.getOrDefault(server, new ArrayDeque<>());
+        Deque<Long> idle = releaseTimesUs.getOrDefault(server, new ArrayDeque<>());
         while (!idle.isEmpty()) {
             if (!isExpired(idle.pop())) {
                 return true;
@@ -35,25 +38,27 @@
         return false;
     }
 
-    private boolean isExpired(long sinceUs) {
-        return scheduler.nowUs() - sinceUs >= idleTimeoutUs;
+    private boolean isExpired(long releasedUs) {
+        return scheduler.nowUs() - releasedUs >= idleTimeoutUs;
     }
 
-    /** Adds a connection that is idle from now on; a closed pool ignores it. */
+    /** Adds a connection that is idle from now on. A closed pool ignores the call. */
     void release(String server) {
         if (!isClosed) {
-            idleSinceUs.computeIfAbsent(server, s -> new ArrayDeque<>()).push(scheduler.nowUs());
+            releaseTimesUs
+                    .computeIfAbsent(server, missing -> new ArrayDeque<>())
+                    .push(scheduler.nowUs());
         }
     }
 
-    /** Forgets the connections to a server, which has reset them. */
+    /** Removes the connections to a server, which has reset them. */
     void removeAll(String server) {
-        idleSinceUs.remove(server);
+        releaseTimesUs.remove(server);
     }
 
-    /** Closes all connections. */
+    /** Closes all idle connections and keeps none that is released later. */
     void close() {
         isClosed = true;
-        idleSinceUs.forEach((server, idle) -> idle.forEach(since -> network.closeIdleConnection(server)));
+        releaseTimesUs.forEach((server, idle) -> idle.forEach(releasedUs -> network.closeIdleConnection(server)));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedFaultInjector.java
@@ -7,7 +7,7 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 import tansypass.testbed.scenario.Scenario.Kind;
 
-/** Injects faults into the parts of a simulated run. */
+/** Injects faults into the nodes, servers and links of a simulated run. */
 final class SimulatedFaultInjector extends FaultInjector {
     private final SimulationContext context;
 
@@ -21,12 +21,12 @@
         context.servers.get(server).stop();
         for (SimulatedNodeHandle node : context.nodes) {
             if (!node.network().serverLink(server).isHalfOpen()) {
-                notifyOfReset(node, server);
+                notifyNodeOfReset(node, server);
             }
         }
     }
 
-    private static void notifyOfReset(SimulatedNodeHandle node, int server) {
+    private static void notifyNodeOfReset(SimulatedNodeHandle node, int server) {
         if (node.isAlive()) {
             node.node().onServerReset(ProcessNames.server(server));
         }
@@ -53,7 +53,7 @@
         handle.network().serverLink(server).apply(fault, begins);
         if (fault.kind() == Kind.RESET && begins) {
             context.servers.get(server).resetConnections();
-            notifyOfReset(handle, server);
+            notifyNodeOfReset(handle, server);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMember.java
@@ -7,8 +7,8 @@
 import tansypass.cluster.membership.Membership;
 
 /**
- * A member of a {@link SimulatedCluster}: its name and address, which outlive its processes, and the process
- * and membership protocol that it has now. Used on the event queue's thread only.
+ * A member of a {@link SimulatedCluster}. Its name and address stay the same for all of its processes; the process and
+ * the protocol instance are those of its last start. Used on the event queue's thread only.
  */
 final class SimulatedMember {
     private static final int PORT = 7_946;
@@ -27,13 +27,13 @@
         address = addressOf(number);
     }
 
-    /** Returns the loopback address of the member with this number. */
+    /** Returns the loopback address of the member with this number, in 127.64.0.0/10. */
     static InetSocketAddress addressOf(int number) {
         byte[] host = {127, (byte) (64 + number / 62_500), (byte) (number / 250 % 250), (byte) (number % 250 + 1)};
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), PORT);
         } catch (UnknownHostException e) {
-            throw new AssertionError("four bytes are an address", e);
+            throw new AssertionError("InetAddress rejected the IPv4 address of member " + number, e);
         }
     }
 
@@ -49,9 +49,9 @@
         return address;
     }
 
-    /** Replaces its process by a new one, and counts it as its next generation. */
-    void startProcess(SimulatedProcess started) {
-        process = Optional.of(started);
+    /** Replaces the process by a new one, which is the next generation. */
+    void startProcess(SimulatedProcess newProcess) {
+        process = Optional.of(newProcess);
         generation++;
     }
 
@@ -59,27 +59,27 @@
         this.membership = Optional.of(membership);
     }
 
-    /** Returns whether it has had a process, dead or alive. */
+    /** Returns whether the member was ever started. */
     boolean hasStarted() {
         return process.isPresent();
     }
 
-    /** Returns its last process, dead or alive; only to be called after the first start. */
+    /** Returns the process of the last start, which may be dead; only to be called after the first start. */
     SimulatedProcess process() {
         return process.orElseThrow();
     }
 
-    /** Returns the protocol instance of its last process; only to be called after the first start. */
+    /** Returns the protocol instance of the last start; only to be called after the first start. */
     Membership membership() {
         return membership.orElseThrow();
     }
 
-    /** Returns how many processes it has had. */
+    /** Returns the number of processes started so far. */
     int generation() {
         return generation;
     }
 
-    /** Returns whether its process is running and not paused. */
+    /** Returns whether the process is running and not paused. */
     boolean isUp() {
         return process.isPresent() && !process().isDead() && !process().isPaused();
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -13,7 +13,7 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.Scenario.Fault;
 
-/** The nodes of a simulated run as members of one cluster, and the checks of their views. */
+/** The cluster that the nodes of a simulated run form; notifies the nodes and the checker of changes of their views. */
 final class SimulatedMembership {
     private static final String DEPLOYMENT = "rig";
 
@@ -37,13 +37,13 @@
         cluster.setViewListener(new ViewListener() {
             @Override
             public void onUpdate(int viewer, Member entry) {
-                context.nodes.get(viewer).membershipChanged(view(viewer));
-                checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), line(entry));
+                context.nodes.get(viewer).onMembershipChange(view(viewer));
+                checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), toLine(entry));
             }
 
             @Override
             public void onReap(int viewer, Member reaped) {
-                context.nodes.get(viewer).membershipChanged(view(viewer));
+                context.nodes.get(viewer).onMembershipChange(view(viewer));
             }
         });
     }
@@ -56,7 +56,8 @@
         return identity.generation() + "." + identity.nonce();
     }
 
-    private static MembershipInvariantChecker.Line line(Member member) {
+    /** Converts an entry of a view to the form that the checker takes. */
+    private static MembershipInvariantChecker.Line toLine(Member member) {
         return new MembershipInvariantChecker.Line(
                 ProcessNames.numberOf(member.identity().name()),
                 incarnation(member.identity()),
@@ -68,7 +69,7 @@
         return cluster.view(number);
     }
 
-    /** Starts a member that joins through the first nodes. */
+    /** Starts a member, which joins through the first nodes of the scenario. */
     void start(int number) {
         int seeds = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
         cluster.start(number, IntStream.range(0, seeds).boxed().toList(), 0, DEPLOYMENT);
@@ -93,11 +94,11 @@
         cluster.applyFault(first, second, fault, begins);
     }
 
-    /** Returns the nodes that are present in a node's view. */
+    /** Returns the numbers of the nodes that are present in a node's view. */
     Set<Integer> presentMembers(int viewer) {
         return view(viewer).members().stream()
                 .filter(Member::isPresent)
-                .map(member -> line(member).of())
+                .map(member -> toLine(member).of())
                 .collect(Collectors.toSet());
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
@@ -2,32 +2,35 @@
 
 import tansypass.balancer.AttemptResult;
 
-/** The network of a node in a simulated run. All calls and callbacks are on the event queue's thread. */
+/** The interface of a simulated node to the network. Used on the event queue's thread only. */
 public interface SimulatedNetwork {
-    /** Opens a connection; the result is {@code OK}, or why there is none. Without a response nothing is called. */
+    /**
+     * Opens a connection to a server. The callback gets {@code OK} or the reason of the failure; it is not called if
+     * the handshake gets no response.
+     */
     void connect(String server, Callback callback);
 
-    /** Writes a request on a connection; {@code fresh} if it is the first on it. */
-    OutboundRequest send(String server, long request, boolean fresh, Callback callback);
+    /** Writes a request on a connection to a server. */
+    OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback);
 
-    /** Closes an idle connection. */
+    /** Closes an idle connection to a server. */
     void closeIdleConnection(String server);
 
     /** Sends the final response to a client. */
     void respond(long request, int status, String body);
 
-    /** A call of the balancer threw an exception, which a real node survives and never expects. */
-    void balancerFailed(RuntimeException fault);
+    /** Reports an exception that a call of the balancer threw. A real node survives it, but it is always a bug. */
+    void balancerFailed(RuntimeException exception);
 
-    /** Receives what comes back on a connection. */
+    /** Receives the result of a connect or of a request. */
     interface Callback {
-        /** The operation has ended; {@code status} and {@code body} only count if the result is {@code OK}. */
+        /** Called when the operation has ended; {@code status} and {@code body} are valid only for {@code OK}. */
         void onComplete(AttemptResult result, int status, String body);
     }
 
-    /** A request that was written and whose response is not complete. */
+    /** A request that was written on a connection and has no complete response yet. */
     interface OutboundRequest {
-        /** Closes its connection. */
+        /** Closes the connection of the request. */
         void close();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
@@ -14,15 +14,16 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * A node of a simulated run: the product's own balancer, and around it a model of what the product's network
- * code does with requests, attempts, timers and connections. It makes no decision of its own. Times are
- * microseconds. All calls come from the event queue's thread.
+ * A node of a simulated run. It runs the product's balancer and models the product's network code, which handles
+ * requests, attempts, timers and connections. All decisions come from the balancer. Times are microseconds. All calls
+ * come from the event queue's thread.
  */
 final class SimulatedNode implements LoadBalancerActions {
-    /** Kept free before the deadline, as the product does: the response still has to reach the client. */
+    /** Attempts end this time before the deadline, as in the product: the response still has to reach the client. */
     private static final long RESPONSE_MARGIN_US = 25_000;
-
+    /** The margin is at most one eighth of the remaining time. */
     private static final int RESPONSE_MARGIN_RATIO = 8;
+
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
     private static final int STATUS_BAD_GATEWAY = 502;
     private static final int STATUS_GATEWAY_TIMEOUT = 504;
@@ -33,18 +34,18 @@
     private final LoadBalancer balancer;
     private final SimulatedConnectionPool connections;
     private final Map<Long, SimulatedRequest> requests = new HashMap<>();
-    /** Runs the balancer's calls: it must not be entered twice. */
+    /** Serializes the calls of the balancer, which is not reentrant. */
     private final SerialExecutor balancerExecutor;
 
     private Scheduler.Timer balancerTimer;
 
-    /** Creates a node and its balancer, which receives the {@code cached} servers as its first endpoint list. */
+    /** Creates a node and its balancer, whose first endpoint list is {@code cachedServers}. */
     SimulatedNode(
             Scheduler scheduler,
             SimulatedNetwork network,
             BalancerSettings settings,
             long seed,
-            List<ServerEntry> cached,
+            List<ServerEntry> cachedServers,
             NodeParts parts) {
         this.scheduler = scheduler;
         this.network = parts.wrapNetwork(network);
@@ -52,7 +53,7 @@
         connections = new SimulatedConnectionPool(scheduler, this.network, settings.idleTimeoutUs());
         balancerExecutor = new SerialExecutor(this.network::balancerFailed);
         balancer = parts.createBalancer(settings, seed, this);
-        balancerExecutor.execute(() -> balancer.onEndpointUpdate(scheduler.nowUs(), UpdateKind.CACHED, cached));
+        balancerExecutor.execute(() -> balancer.onEndpointUpdate(scheduler.nowUs(), UpdateKind.CACHED, cachedServers));
     }
 
     Scheduler scheduler() {
@@ -75,19 +76,19 @@
         return balancerExecutor.isShutDown();
     }
 
-    /** Removes a request that is over and has no attempt in flight. */
+    /** Removes a request if it is over and has no attempt in flight. */
     void removeIfDone(SimulatedRequest request) {
         if (request.isDone()) {
             requests.remove(request.id(), request);
         }
     }
 
-    /** Reports how an attempt ended, as it is when the balancer can be called. */
+    /** Reports the outcome of an attempt to the balancer; {@code outcome} is evaluated only when the call runs. */
     void reportOutcome(Supplier<AttemptOutcome> outcome) {
         balancerExecutor.execute(() -> balancer.onOutcome(scheduler.nowUs(), outcome.get()));
     }
 
-    /** The client has closed its connection. */
+    /** Called when a client has closed its connection. */
     void onClientDisconnect(long id) {
         SimulatedRequest request = requests.get(id);
         if (request != null && !request.isOver()) {
@@ -97,12 +98,12 @@
         }
     }
 
-    /** A server has reset its connections: those that were idle are closed. */
+    /** Called when a server has reset its connections; idle ones are removed from the pool. */
     void onServerReset(String server) {
         connections.removeAll(server);
     }
 
-    /** A client's request is complete. */
+    /** Called when a complete request of a client has arrived. */
     void onRequest(long id, int classIndex, long remainingUs) {
         long nowUs = scheduler.nowUs();
         long deadlineUs = nowUs + remainingUs - Math.min(RESPONSE_MARGIN_US, remainingUs / RESPONSE_MARGIN_RATIO);
@@ -120,12 +121,12 @@
         }
     }
 
-    /** The endpoint list has changed. */
+    /** Called when entries of the endpoint list have changed. */
     void onEndpointUpdate(List<ServerEntry> changes) {
         balancerExecutor.execute(() -> balancer.onEndpointUpdate(scheduler.nowUs(), UpdateKind.DELTA, changes));
     }
 
-    /** Its process has ended: stops all timers and closes all connections. */
+    /** Stops all timers and closes all connections, because the process has ended. */
     void stop() {
         balancerExecutor.shutdown();
         if (balancerTimer != null) {
@@ -135,27 +136,27 @@
         requests.values().forEach(SimulatedRequest::abort);
     }
 
-    /** The estimated number of nodes has changed, as {@link LoadBalancer#onClusterSize} takes it. */
+    /** Called when the estimated number of nodes has changed; see {@link LoadBalancer#onClusterSize}. */
     void onClusterSize(int present, int lost) {
         balancerExecutor.execute(() -> balancer.onClusterSize(scheduler.nowUs(), present, lost));
     }
 
-    /** Returns how many requests are in flight. */
+    /** Returns the number of requests in flight. */
     int inFlight() {
         return requests.size();
     }
 
     @Override
-    public void send(long requestId, String serverId, long untilUs) {
+    public void send(long requestId, String serverId, long attemptDeadlineUs) {
         SimulatedRequest request = requests.get(requestId);
         if (request != null) {
-            request.startAttempt(serverId, untilUs);
+            request.startAttempt(serverId, attemptDeadlineUs);
         }
     }
 
     @Override
     public void setAttemptDeadline(long requestId, int attempt, long untilUs) {
-        // Bodies are short here: an attempt has its deadline from the start.
+        // Simulated request bodies are short, so each attempt has its deadline from the start.
     }
 
     @Override
@@ -198,21 +199,21 @@
 
     @Override
     public void subscribe() {
-        // The endpoint list is pushed.
+        // A simulated node always receives the changes of the endpoint list.
     }
 
     @Override
     public void onNoServerReady(int listed) {
-        // Runs on real processes keep the nodes' logs; a simulated node has none.
+        // Only real nodes write a log.
     }
 
     @Override
     public void onServerEjected(String serverId, int failures) {
-        // As above.
+        // Only real nodes write a log.
     }
 
     @Override
     public void onServerRestored(String serverId) {
-        // As above.
+        // Only real nodes write a log.
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -10,20 +10,20 @@
 import tansypass.testbed.model.EndpointRegistry.State;
 import tansypass.testbed.model.NodeHandle;
 
-/** A node of a simulated run and the process that it has now, if any. */
+/** A node of a simulated run, across the starts and ends of its processes. */
 final class SimulatedNodeHandle extends NodeHandle {
-    /** How long a start takes; on real processes it is what it is. */
+    /** The duration of a simulated start; a real process takes the time that it needs. */
     private static final long START_US = 1_500_000;
-    /** For how long a draining node still accepts requests, as the product's own network code does. */
+    /** The time for which a draining node still accepts requests, as the product's network code does. */
     private static final long ACCEPT_WHILE_DRAINING_US = 600_000;
 
     private static final long DRAINED_CHECK_US = 5_000;
 
     private final SimulationContext context;
     private final SimulatedNodeNetwork network;
-    /** Empty if there is no process. */
+    /** Empty while the node has no process. */
     private Optional<SimulatedNode> node = Optional.empty();
-    /** Empty before the first start; a dead one stays until the next start. */
+    /** Empty before the first start. A dead process stays until the next start. */
     private Optional<SimulatedProcess> process = Optional.empty();
     /** Empty unless the node is a member of a cluster. */
     private Optional<ClusterSizeEstimator> clusterSize = Optional.empty();
@@ -42,12 +42,12 @@
         return network;
     }
 
-    /** Returns the present process, or the last one, which is dead; only to be called after the first start. */
+    /** Returns the process of the last start, which may be dead; only to be called after the first start. */
     SimulatedProcess process() {
         return process.orElseThrow();
     }
 
-    /** Returns the present node; only to be called while it {@link #isAlive}. */
+    /** Returns the node of the running process; only to be called while {@link #isAlive}. */
     SimulatedNode node() {
         return node.orElseThrow();
     }
@@ -72,49 +72,49 @@
         return process().isPaused();
     }
 
-    /** Starts a process at once. */
+    /** Starts a process without a delay. */
     void start() {
         advanceGeneration();
         isStarting = false;
         checker.nodeStarted(nowUs(), number());
-        List<EndpointRegistry.Entry> known = context.registry.lastPublished();
-        known.stream()
+        List<EndpointRegistry.Entry> endpoints = context.registry.lastPublished();
+        endpoints.stream()
                 .filter(entry -> entry.state() != State.READY)
                 .forEach(entry -> checker.endpointNotified(nowUs(), number(), entry.number(), true));
-        SimulatedProcess startedProcess = new SimulatedProcess(context.queue);
-        process = Optional.of(startedProcess);
-        SimulatedNode started = new SimulatedNode(
-                startedProcess,
+        SimulatedProcess newProcess = new SimulatedProcess(context.queue);
+        process = Optional.of(newProcess);
+        SimulatedNode newNode = new SimulatedNode(
+                newProcess,
                 network,
                 BalancerInputs.settings(scenario, number()),
                 RandomStreams.seedOf(context.seed, name() + "#" + generation()),
-                BalancerInputs.serverEntries(scenario, known),
+                BalancerInputs.serverEntries(scenario, endpoints),
                 context.parts);
-        node = Optional.of(started);
+        node = Optional.of(newNode);
         context.clientLoadBalancer.nodeReady(number());
-        context.membership.ifPresent(membership -> joinCluster(membership, started));
+        context.membership.ifPresent(membership -> joinCluster(membership, newNode));
     }
 
-    private void joinCluster(SimulatedMembership membership, SimulatedNode started) {
+    private void joinCluster(SimulatedMembership membership, SimulatedNode newNode) {
         membership.start(number());
-        clusterSize = Optional.of(new ClusterSizeEstimator(started::onClusterSize));
+        clusterSize = Optional.of(new ClusterSizeEstimator(newNode::onClusterSize));
     }
 
-    /** The node's own membership view has changed. */
-    void membershipChanged(MembershipView view) {
+    /** Called when the node's membership view has changed. */
+    void onMembershipChange(MembershipView view) {
         clusterSize.ifPresent(estimator -> estimator.update(view, 0));
     }
 
-    /** Discovery notifies the node of a change. */
-    void notifyOf(EndpointRegistry.WatchEvent event) {
+    /** Called when discovery notifies the node of changes of the endpoint list. */
+    void onWatchEvent(EndpointRegistry.WatchEvent event) {
         if (!isAlive()) {
             return;
         }
-        SimulatedNode notified = node();
+        SimulatedNode notifiedNode = node();
         for (EndpointRegistry.Entry entry : event.entries()) {
             checker.endpointNotified(nowUs(), number(), entry.number(), entry.state() != State.READY);
         }
-        process().deliver(() -> notified.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
+        process().deliver(() -> notifiedNode.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
     }
 
     @Override
@@ -123,9 +123,9 @@
             restartsAfterDraining = true;
         } else if (!isAlive() && !isStarting) {
             isStarting = true;
-            int starting = generation();
+            int startGeneration = generation();
             context.queue.after(START_US, () -> {
-                if (generation() == starting && isStarting) {
+                if (generation() == startGeneration && isStarting) {
                     start();
                 }
             });
@@ -149,7 +149,7 @@
         context.membership.ifPresent(membership -> membership.setPaused(number(), paused));
     }
 
-    /** Kills its process, also one that is just starting. */
+    /** Kills the process, or cancels a start in progress. */
     @Override
     public void kill() {
         isStarting = false;
@@ -160,11 +160,11 @@
         if (isPaused()) {
             endPauseExcuse();
         }
-        int killed = generation();
+        int killedGeneration = generation();
         context.clientLoadBalancer.nodeDied(number());
         checker.excuseNode(nowUs(), number()).end(nowUs());
         processEnded();
-        context.clients.breakConnections(number(), killed);
+        context.clients.breakConnections(number(), killedGeneration);
     }
 
     private void processEnded() {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Accepts requests for some time still, responds to all of them, and ends. */
+    /** Starts to drain: still accepts requests for a short time, responds to all of them, and then ends. */
     @Override
     public void terminate() {
         if (!isAlive() || isDraining) {
@@ -190,19 +190,19 @@
         isDraining = true;
         context.membership.ifPresent(membership -> membership.leave(number()));
         context.clientLoadBalancer.nodeNotReady(number());
-        int terminating = generation();
-        context.queue.after(ACCEPT_WHILE_DRAINING_US, () -> endWhenDrained(terminating));
+        int terminatingGeneration = generation();
+        context.queue.after(ACCEPT_WHILE_DRAINING_US, () -> endWhenDrained(terminatingGeneration));
         enforceTermination();
     }
 
-    private void endWhenDrained(int terminating) {
-        if (generation() != terminating) {
+    private void endWhenDrained(int terminatingGeneration) {
+        if (generation() != terminatingGeneration) {
             return;
         }
         if (!isPaused() && node().inFlight() == 0) {
             processEnded();
         } else {
-            context.queue.after(DRAINED_CHECK_US, () -> endWhenDrained(terminating));
+            context.queue.after(DRAINED_CHECK_US, () -> endWhenDrained(terminatingGeneration));
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -8,9 +8,9 @@
 import tansypass.testbed.model.LinkState.Direction;
 import tansypass.testbed.scenario.Scenario;
 
-/** The network of one node in a simulated run: its links to the servers and from the clients. */
+/** The network of one simulated node: the links from the node to the servers, and the link from the clients to it. */
 final class SimulatedNodeNetwork implements SimulatedNetwork {
-    /** The size of a request or response, for links with a limited rate. */
+    /** The assumed size of each request and response on links with a rate limit. */
     static final int MESSAGE_BYTES = 300;
 
     private final SimulationContext context;
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void connect(String name, Callback callback) {
-        SimulatedServer server = context.server(name);
+    public void connect(String serverName, Callback callback) {
+        SimulatedServer server = context.server(serverName);
         LinkState link = serverLinks.get(server.number());
         SimulatedProcess caller = node.process();
         if (link.blocksHandshakes()) {
@@ -60,10 +60,16 @@
     }
 
     @Override
-    public OutboundRequest send(String name, long request, boolean fresh, Callback callback) {
-        SimulatedServer server = context.server(name);
+    public OutboundRequest send(String serverName, long request, boolean isFirstOnConnection, Callback callback) {
+        SimulatedServer server = context.server(serverName);
         InFlightMessage message = new InFlightMessage(
-                context, server, serverLinks.get(server.number()), node.process(), request, fresh, callback);
+                context,
+                server,
+                serverLinks.get(server.number()),
+                node.process(),
+                request,
+                isFirstOnConnection,
+                callback);
         message.start();
         return message;
     }
@@ -83,7 +89,7 @@
     }
 
     @Override
-    public void balancerFailed(RuntimeException fault) {
-        context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + fault);
+    public void balancerFailed(RuntimeException exception) {
+        context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + exception);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
@@ -5,12 +5,12 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * A process in virtual time: events for it and its own timers wait while it is paused, and are dropped when it
- * is killed.
+ * A process in virtual time. While the process is paused, its events and the timers that are due wait; a kill drops
+ * them.
  */
 final class SimulatedProcess implements Scheduler {
     private final Scheduler scheduler;
-    private final Deque<Runnable> waitingEvents = new ArrayDeque<>();
+    private final Deque<Runnable> pendingEvents = new ArrayDeque<>();
     private boolean paused;
     private boolean dead;
 
@@ -26,15 +26,15 @@
         return dead;
     }
 
-    /** Returns how many events wait until it is resumed. */
-    int waiting() {
-        return waitingEvents.size();
+    /** Returns the number of events that wait until the process is resumed. */
+    int pendingEventCount() {
+        return pendingEvents.size();
     }
 
-    /** Runs an event in it: at once, when it is resumed, or never. */
+    /** Runs an event at once; keeps it until the process is resumed, if paused; drops it, if the process is dead. */
     void deliver(Runnable event) {
         if (paused) {
-            waitingEvents.add(event);
+            pendingEvents.add(event);
         } else if (!dead) {
             event.run();
         }
@@ -61,18 +61,18 @@
         };
     }
 
-    /** Pauses it (SIGSTOP), or resumes it and runs what waited (SIGCONT). */
+    /** Pauses the process (SIGSTOP), or resumes it and runs the waiting events (SIGCONT). */
     void setPaused(boolean paused) {
         this.paused = paused && !dead;
-        while (!this.paused && !waitingEvents.isEmpty()) {
-            waitingEvents.poll().run();
+        while (!this.paused && !pendingEvents.isEmpty()) {
+            pendingEvents.poll().run();
         }
     }
 
-    /** Kills it (SIGKILL). */
+    /** Kills the process (SIGKILL). */
     void kill() {
         dead = true;
         paused = false;
-        waitingEvents.clear();
+        pendingEvents.clear();
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
@@ -5,7 +5,7 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.cluster.runtime.Scheduler;
 
-/** A client's request at a simulated node, until it has its response and no attempt of it is in flight. */
+/** A client's request at a simulated node. It exists until it is over and none of its attempts is in flight. */
 final class SimulatedRequest {
     private final SimulatedNode node;
     private final long id;
@@ -15,7 +15,7 @@
     private int attemptsInFlight;
     private boolean isOver;
 
-    /** Creates a request without a deadline timer; attempts end at {@code deadlineUs}. */
+    /** Creates a request whose attempts end at {@code deadlineUs}; {@link #setDeadlineTimer} has to follow. */
     SimulatedRequest(SimulatedNode node, long id, long deadlineUs) {
         this.node = node;
         this.id = id;
@@ -30,11 +30,12 @@
         return deadlineUs;
     }
 
-    /** Returns whether it has its response, or its client has disconnected. */
+    /** Returns whether the response was sent or the client has disconnected. */
     boolean isOver() {
         return isOver;
     }
 
+    /** Returns whether the request is over and has no attempt in flight. */
     boolean isDone() {
         return isOver && attemptsInFlight == 0;
     }
@@ -43,7 +44,7 @@
         deadlineTimer = timer;
     }
 
-    /** Sends an attempt to a server; {@code attemptDeadlineUs} of 0 or less means none of its own. */
+    /** Sends an attempt to a server; if {@code attemptDeadlineUs} is 0 or less, only the request's deadline applies. */
     void startAttempt(String server, long attemptDeadlineUs) {
         SimulatedAttempt attempt = new SimulatedAttempt(node, this, attempts.size(), server);
         attempts.add(attempt);
@@ -51,18 +52,19 @@
         attempt.start(attemptDeadlineUs);
     }
 
-    /** Cancels an attempt, if there is one of this number. */
+    /** Cancels the attempt with this number, if there is one. */
     void cancelAttempt(int number) {
         if (number < attempts.size()) {
             attempts.get(number).endWithoutResponse(AttemptResult.CANCELLED);
         }
     }
 
-    void attemptEnded() {
+    /** Called when an attempt has ended. */
+    void onAttemptEnded() {
         attemptsInFlight--;
     }
 
-    /** Sends the final response to the client, unless the request is over. */
+    /** Sends the final response to the client. No effect if the request is over. */
     void respond(int status, String body) {
         if (isOver) {
             return;
@@ -76,13 +78,13 @@
         node.removeIfDone(this);
     }
 
-    /** Ends the request without a response; attempts go on until they are cancelled. */
+    /** Ends the request without a response. Its attempts continue until the balancer cancels them. */
     void finish() {
         isOver = true;
         deadlineTimer.cancel();
     }
 
-    /** Stops all timers and closes the connections in use: the node's process has ended. */
+    /** Stops all timers and closes the connections in use, because the node's process has ended. */
     void abort() {
         deadlineTimer.cancel();
         attempts.forEach(SimulatedAttempt::abort);
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedServer.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedServer.java
@@ -9,7 +9,7 @@
 import tansypass.testbed.model.WebServer;
 import tansypass.testbed.scenario.Scenario;
 
-/** A web server of a simulated run: whether its process is up, and the messages that are in flight to it. */
+/** A web server of a simulated run: its model, the state of its process, and the messages in flight to it. */
 final class SimulatedServer {
     private final int number;
     private final WebServer model;
@@ -42,14 +42,14 @@
         messages.remove(message);
     }
 
-    /** Its process is killed: its requests are lost, and its connections are reset. */
+    /** Kills the process, which loses its requests and resets its connections. */
     void stop() {
         isUp = false;
         model.stop();
         resetConnections();
     }
 
-    /** Its process starts again. */
+    /** Starts the process again. */
     void start() {
         isUp = true;
         model.start();
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulationContext.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulationContext.java
@@ -10,7 +10,7 @@
 import tansypass.testbed.model.ProcessNames;
 import tansypass.testbed.scenario.Scenario;
 
-/** The parts of one simulated run, which know one another through it. All run on the event queue's thread. */
+/** The parts of one simulated run, which reach each other through this object. All run on the event queue's thread. */
 final class SimulationContext {
     final Scenario scenario;
     final long seed;
@@ -22,7 +22,7 @@
     final SimulatedClients clients;
     final List<SimulatedServer> servers = new ArrayList<>();
     final List<SimulatedNodeHandle> nodes = new ArrayList<>();
-    /** Empty if the scenario has no cluster. */
+    /** Empty if the nodes of the scenario form no cluster. */
     final Optional<SimulatedMembership> membership;
 
     SimulationContext(Scenario scenario, long seed, NodeParts parts) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulationRun.java
@@ -5,7 +5,7 @@
 import tansypass.testbed.model.MembershipAgreement;
 import tansypass.testbed.scenario.Scenario;
 
-/** Runs a scenario in virtual time, on the calling thread: one seed always gives the same trace. */
+/** Runs a scenario in virtual time, on the calling thread. Equal scenarios and seeds give equal traces. */
 public final class SimulationRun {
     private final Scenario scenario;
     private final SimulationContext context;
@@ -17,12 +17,12 @@
         checker = context.checker;
     }
 
-    /** Runs the scenario with the product's own parts and returns the checker, which has seen all events. */
+    /** Runs the scenario with the product's parts and returns the checker, which has received all events of the run. */
     public static InvariantChecker run(Scenario scenario, long seed) {
         return run(scenario, seed, NodeParts.PRODUCT);
     }
 
-    /** Runs the scenario with nodes made of these parts and returns the checker. */
+    /** Runs the scenario with nodes that consist of the given parts, and returns the checker. */
     public static InvariantChecker run(Scenario scenario, long seed, NodeParts parts) {
         SimulationRun run = new SimulationRun(scenario, seed, parts);
         run.runToEnd();
@@ -31,7 +31,7 @@
 
     private void runToEnd() {
         context.nodes.forEach(SimulatedNodeHandle::start);
-        context.nodes.forEach(node -> context.registry.addWatcher(node::notifyOf));
+        context.nodes.forEach(node -> context.registry.addWatcher(node::onWatchEvent));
         new FaultSchedule(scenario, new SimulatedFaultInjector(context)).start(context.queue);
         context.clients.start();
         context.queue.runUntil(scenario.lengthUs() + scenario.settleUs());
--- a/testbed/src/main/java/tansypass/testbed/simulation/ViewListener.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ViewListener.java
@@ -5,17 +5,17 @@
 /** Receives the changes of all membership views of a {@link SimulatedCluster}, on the event queue's thread. */
 public interface ViewListener {
     /**
-     * An entry of a view was added or replaced.
+     * Called when an entry of a view was added or replaced.
      *
-     * @param viewer the number of the member whose view it is
-     * @param entry the entry as it is now
+     * @param viewer the number of the member that holds the view
+     * @param entry the new entry
      */
     void onUpdate(int viewer, Member entry);
 
     /**
-     * An entry was removed from a view; ignored by default.
+     * Called when an entry was removed from a view; does nothing by default.
      *
-     * @param viewer the number of the member whose view it is
+     * @param viewer the number of the member that holds the view
      */
     default void onReap(int viewer, Member reaped) {}
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs in virtual time: the product's balancer and membership protocol on an event queue, with simulated processes and
- * links. One seed always gives the same trace.
+ * Simulated runs in virtual time. The product's balancer and membership protocol run on an event queue, with simulated
+ * processes and links. Equal scenarios and seeds give equal traces.
  */
 package tansypass.testbed.simulation;
--- a/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/PlantedFaultsTest.java
@@ -95,8 +95,8 @@
             private final Set<Long> reset = new HashSet<>();
 
             @Override
-            public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-                return super.send(server, request, fresh, (result, status, body) -> {
+            public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
+                return super.send(server, request, isFirstOnConnection, (result, status, body) -> {
                     if (result == AttemptResult.RESET) {
                         reset.add(request);
                     }
@@ -149,8 +149,8 @@
     void findsConnectionLeakAfterCancelledAttempt() throws InterruptedException {
         FaultyNetwork leaks = network -> new ForwardingNetwork(network) {
             @Override
-            public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-                super.send(server, request, fresh, callback);
+            public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
+                super.send(server, request, isFirstOnConnection, callback);
                 return () -> {};
             }
         };
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-        return delegate.send(server, request, fresh, callback);
+    public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
+        return delegate.send(server, request, isFirstOnConnection, callback);
     }
 
     @Override
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void balancerFailed(RuntimeException fault) {
-        delegate.balancerFailed(fault);
+    public void balancerFailed(RuntimeException exception) {
+        delegate.balancerFailed(exception);
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -92,9 +92,9 @@
         }
 
         @Override
-        public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-            super.send(server, request, fresh, callback);
-            return super.send(server, request, fresh, callback);
+        public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
+            super.send(server, request, isFirstOnConnection, callback);
+            return super.send(server, request, isFirstOnConnection, callback);
         }
 
         @Override
