--- a/testbed/src/main/java/tansypass/testbed/model/ClientLoadBalancer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/ClientLoadBalancer.java
@@ -5,51 +5,51 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * The load balancer between clients and nodes: round robin over the nodes that are ready. It detects the
- * death of a node only some time later. Not thread-safe.
+ * The load balancer between clients and nodes, which selects ready nodes by round robin. It detects the death of a node
+ * only after a delay. Not thread-safe.
  */
 public final class ClientLoadBalancer {
     /** Returned by {@link #selectNode} if no node is ready. */
     public static final int NO_NODE = -1;
 
     private final Scheduler scheduler;
-    private final long detectionUs;
+    private final long detectionDelayUs;
     private final List<Integer> readyNodes = new ArrayList<>();
-    /** By node, how often its state changed: a detection that is due too late is dropped. */
-    private final int[] changes;
+    /** By node, the number of changes of its state; a scheduled detection is dropped if the state has changed since. */
+    private final int[] changeCounts;
 
-    private int next;
+    private int nextIndex;
 
     /**
      * Creates a load balancer with no node ready.
      *
-     * @param detectionUs for how long a node that has died still gets clients, in microseconds
+     * @param detectionDelayUs the time for which a dead node is still selected, in microseconds
      */
-    public ClientLoadBalancer(Scheduler scheduler, int nodes, long detectionUs) {
+    public ClientLoadBalancer(Scheduler scheduler, int nodes, long detectionDelayUs) {
         this.scheduler = scheduler;
-        this.detectionUs = detectionUs;
-        changes = new int[nodes];
+        this.detectionDelayUs = detectionDelayUs;
+        changeCounts = new int[nodes];
     }
 
-    /** The node's readiness check succeeded. */
+    /** Adds a node whose readiness check has succeeded. */
     public void nodeReady(int node) {
-        changes[node]++;
+        changeCounts[node]++;
         if (!readyNodes.contains(node)) {
             readyNodes.add(node);
         }
     }
 
-    /** The node's readiness check failed, as while it is draining. */
+    /** Removes a node whose readiness check has failed, for example because it is draining. */
     public void nodeNotReady(int node) {
-        changes[node]++;
+        changeCounts[node]++;
         readyNodes.remove(Integer.valueOf(node));
     }
 
-    /** The node's process died, which is detected later. */
+    /** Removes a node whose process has died, once the detection delay is over. */
     public void nodeDied(int node) {
-        int change = ++changes[node];
-        scheduler.after(detectionUs, () -> {
-            if (changes[node] == change) {
+        int changeCount = ++changeCounts[node];
+        scheduler.after(detectionDelayUs, () -> {
+            if (changeCounts[node] == changeCount) {
                 readyNodes.remove(Integer.valueOf(node));
             }
         });
@@ -57,6 +57,6 @@
 
     /** Returns the node for the next request, or {@link #NO_NODE}. */
     public int selectNode() {
-        return readyNodes.isEmpty() ? NO_NODE : readyNodes.get(next++ % readyNodes.size());
+        return readyNodes.isEmpty() ? NO_NODE : readyNodes.get(nextIndex++ % readyNodes.size());
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/model/EndpointRegistry.java
+++ b/testbed/src/main/java/tansypass/testbed/model/EndpointRegistry.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Discovery's list of servers, without its sockets: each change is a new revision, published to every watcher
- * in order. While discovery is silent the list still changes, and watchers are notified of what they missed
- * afterwards. Not thread-safe.
+ * The endpoint list of discovery, without sockets. Each change makes a new revision, and all watchers are notified of
+ * revisions in order. While discovery is silent, the list still changes; watchers are notified of these changes when
+ * the silence ends. Not thread-safe.
  */
 public final class EndpointRegistry {
 
@@ -21,17 +21,17 @@
     }
 
     /**
-     * One server.
+     * The entry of one server.
      *
-     * @param bootMs when it started, in Unix milliseconds; 0 for long ago
-     * @param revision of the list that last changed this entry
+     * @param bootMs the start of the server in Unix milliseconds; 0 if it started before the run
+     * @param revision the revision of the list in which this entry last changed
      */
     public record Entry(String name, int number, State state, long bootMs, long revision) {}
 
     /**
-     * What a watcher is notified of.
+     * A notification to a watcher.
      *
-     * @param isSnapshot whether the entries are the complete list, and not only changes
+     * @param isSnapshot true if the entries are the complete list, false if they are only the changed ones
      */
     public record WatchEvent(long revision, boolean isSnapshot, List<Entry> entries) {}
 
@@ -40,7 +40,7 @@
     private final List<Consumer<WatchEvent>> watchers = new ArrayList<>();
     private long revision;
     private long publishedRevision;
-    private boolean silent;
+    private boolean isSilent;
 
     /** Adds a server, or replaces its entry. */
     public void put(String name, int number, State state, long bootMs) {
@@ -48,13 +48,13 @@
         publish();
     }
 
-    /** Changes the state of a server that is in the list. */
+    /** Changes the state of a server, which has to be in the list. */
     public void setState(String name, State state) {
         Entry old = entries.get(name);
         put(name, old.number, state, old.bootMs);
     }
 
-    /** Returns the complete list, without terminated servers. */
+    /** Returns the complete list, without servers that are gone. */
     public WatchEvent snapshot() {
         return new WatchEvent(
                 revision,
@@ -62,42 +62,42 @@
                 entries.values().stream().filter(e -> e.state != State.GONE).toList());
     }
 
-    /** Returns the list as it was last published, which is what a node has when it starts. */
+    /** Returns the last published list, including servers that are gone; a starting node begins with this list. */
     public List<Entry> lastPublished() {
         return List.copyOf(publishedEntries.values());
     }
 
-    /** Returns what changed after a revision. */
-    public WatchEvent changesSince(long after) {
+    /** Returns the entries that changed after the given revision. */
+    public WatchEvent changesSince(long baseRevision) {
         return new WatchEvent(
                 revision,
                 false,
-                entries.values().stream().filter(e -> e.revision > after).toList());
+                entries.values().stream().filter(e -> e.revision > baseRevision).toList());
     }
 
-    /** Notifies the watcher of changes from now on. */
+    /** Adds a watcher, which is notified of all changes from now on. */
     public void addWatcher(Consumer<WatchEvent> watcher) {
         watchers.add(watcher);
     }
 
-    /** Notifies the watcher no more. */
+    /** Removes a watcher. */
     public void removeWatcher(Consumer<WatchEvent> watcher) {
         watchers.remove(watcher);
     }
 
-    /** Returns whether changes are withheld now. */
+    /** Returns whether changes are currently withheld from watchers. */
     public boolean isSilent() {
-        return silent;
+        return isSilent;
     }
 
-    /** Withholds changes, or publishes those that were withheld. */
-    public void setSilent(boolean on) {
-        silent = on;
+    /** Starts to withhold changes from watchers, or publishes the withheld changes and all later ones. */
+    public void setSilent(boolean silent) {
+        isSilent = silent;
         publish();
     }
 
     private void publish() {
-        if (!silent && publishedRevision < revision) {
+        if (!isSilent && publishedRevision < revision) {
             WatchEvent event = changesSince(publishedRevision);
             publishedRevision = revision;
             publishedEntries.putAll(entries);
--- a/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
@@ -8,8 +8,9 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * Applies faults to nodes, servers and links and notifies the checker of what they excuse. Subclasses reach the
- * servers and links of their kind of run. All calls come from the run's one thread.
+ * Applies faults to nodes, servers and links, and notifies the checker of the violations that they excuse. Subclasses
+ * act on the servers and links of a simulated run or of a run on real processes. All calls come from the run's single
+ * thread.
  */
 public abstract class FaultInjector implements FaultSchedule.Target {
     private final InvariantChecker checker;
@@ -17,7 +18,7 @@
     private final List<? extends NodeHandle> nodes;
     private final LongSupplier nowUs;
 
-    /** Creates an injector; {@code nowUs} gives the time since the load began, in microseconds. */
+    /** Creates an injector; {@code nowUs} returns the time since the load began, in microseconds. */
     protected FaultInjector(
             InvariantChecker checker, EndpointRegistry registry, List<? extends NodeHandle> nodes, LongSupplier nowUs) {
         this.checker = checker;
@@ -32,10 +33,10 @@
     /** Starts a server's process again. */
     protected abstract void startServer(int server);
 
-    /** Returns the model of a server. */
+    /** Returns the model of a server's behavior. */
     protected abstract WebServer webServer(int server);
 
-    /** Returns the Unix time in milliseconds that a server which starts now reports. */
+    /** Returns the present Unix time in milliseconds, which a server that starts now reports as its start. */
     protected abstract long unixMillis();
 
     /** Begins or ends a fault on the link between two nodes. */
@@ -44,7 +45,10 @@
     /** Begins or ends a fault on the link from the clients to a node. */
     protected abstract void applyToClientLink(int node, Fault fault, boolean begins);
 
-    /** Returns when all that is on the link from the clients to a node has passed; now, if nothing is. */
+    /**
+     * Returns the time at which all data now on the link from the clients to a node is delivered; the present time if
+     * the link is empty.
+     */
     protected abstract long clientLinkClearedUs(int node);
 
     @Override
--- a/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
@@ -7,27 +7,27 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.Scenario.Fault;
 
-/** Begins and ends the faults of a scenario at their times, on whatever {@link Target} there is. */
+/** Begins and ends the faults of a scenario at their times, by calls of a {@link Target}. */
 public final class FaultSchedule {
 
     /** Applies single faults to the nodes, servers and links of a run. */
     public interface Target {
-        /** A fault of a node begins or ends. */
+        /** Begins or ends a fault of a node. */
         void applyNodeFault(int node, Fault fault, boolean begins);
 
-        /** A fault of a server begins or ends. */
+        /** Begins or ends a fault of a server. */
         void applyServerFault(int server, Fault fault, boolean begins);
 
-        /** Discovery withholds changes, or publishes them again. */
+        /** Makes discovery withhold changes of the endpoint list, or publish them again. */
         void setDiscoverySilent(boolean silent);
 
-        /** A fault of the link from a node to a server begins or ends. */
+        /** Begins or ends a fault of the link from a node to a server. */
         void applyServerLinkFault(int node, int server, Fault fault, boolean begins);
 
-        /** A fault of the link between two nodes begins or ends. */
+        /** Begins or ends a fault of the link between two nodes. */
         void applyMemberLinkFault(int first, int second, Fault fault, boolean begins);
 
-        /** A fault of the link from the clients to a node begins or ends. */
+        /** Begins or ends a fault of the link from the clients to a node. */
         void applyClientLinkFault(int node, Fault fault, boolean begins);
     }
 
@@ -40,51 +40,54 @@
         this.target = target;
     }
 
-    /** Starts the schedule now. No fault outlasts the load: the time after it is for requests to end. */
+    /**
+     * Starts the schedule now. Each fault ends with the load at the latest, so that open requests can end without
+     * faults in the settle time.
+     */
     public void start(Scheduler scheduler) {
         for (Fault fault : scenario.faults()) {
             scheduler.after(fault.startUs(), () -> {
                 apply(fault, true);
-                long lastsUs = Math.min(fault.durationUs(), scenario.lengthUs() - fault.startUs());
-                scheduler.after(lastsUs, () -> apply(fault, false));
+                long durationUs = Math.min(fault.durationUs(), scenario.lengthUs() - fault.startUs());
+                scheduler.after(durationUs, () -> apply(fault, false));
             });
         }
     }
 
     private void apply(Fault fault, boolean begins) {
-        String first = fault.targets().get(0);
-        if (first.equals("discovery")) {
+        String firstTarget = fault.targets().get(0);
+        if (firstTarget.equals("discovery")) {
             target.setDiscoverySilent(begins);
         } else if (fault.kind().isLinkFault()) {
-            for (int second : numbers(scenario, fault.targets().get(1))) {
-                if (first.equals("clients")) {
-                    target.applyClientLinkFault(second, fault, begins);
+            for (int secondEnd : matchingNumbers(scenario, fault.targets().get(1))) {
+                if (firstTarget.equals("clients")) {
+                    target.applyClientLinkFault(secondEnd, fault, begins);
                 } else {
-                    numbers(scenario, first).forEach(node -> applyToLink(node, second, fault, begins));
+                    matchingNumbers(scenario, firstTarget).forEach(node -> applyToLink(node, secondEnd, fault, begins));
                 }
             }
-        } else if (first.startsWith("node")) {
-            numbers(scenario, first).forEach(node -> target.applyNodeFault(node, fault, begins));
+        } else if (firstTarget.startsWith("node")) {
+            matchingNumbers(scenario, firstTarget).forEach(node -> target.applyNodeFault(node, fault, begins));
         } else {
-            numbers(scenario, first).forEach(server -> target.applyServerFault(server, fault, begins));
+            matchingNumbers(scenario, firstTarget).forEach(server -> target.applyServerFault(server, fault, begins));
         }
     }
 
-    private void applyToLink(int node, int second, Fault fault, boolean begins) {
+    private void applyToLink(int node, int secondEnd, Fault fault, boolean begins) {
         if (!fault.isBetweenNodes()) {
-            target.applyServerLinkFault(node, second, fault, begins);
-        } else if (node != second) {
-            target.applyMemberLinkFault(node, second, fault, begins);
+            target.applyServerLinkFault(node, secondEnd, fault, begins);
+        } else if (node != secondEnd) {
+            target.applyMemberLinkFault(node, secondEnd, fault, begins);
         }
     }
 
-    /** Returns the links from nodes to servers that some fault is on, as node * servers + server. */
+    /** Returns the links from nodes to servers that have any fault, each as {@code node * serverCount + server}. */
     public static List<Integer> faultyLinks(Scenario scenario) {
         List<Integer> links = new ArrayList<>();
         for (Fault fault : scenario.faults()) {
             if (fault.kind().isLinkFault() && fault.targets().get(0).startsWith("node") && !fault.isBetweenNodes()) {
-                for (int node : numbers(scenario, fault.targets().get(0))) {
-                    for (int server : numbers(scenario, fault.targets().get(1))) {
+                for (int node : matchingNumbers(scenario, fault.targets().get(0))) {
+                    for (int server : matchingNumbers(scenario, fault.targets().get(1))) {
                         links.add(node * scenario.servers().count() + server);
                     }
                 }
@@ -93,17 +96,17 @@
         return links.stream().distinct().toList();
     }
 
-    /** Returns the nodes whose link from the clients some fault is on. */
+    /** Returns the nodes whose link from the clients has any fault. */
     public static List<Integer> faultyClientLinks(Scenario scenario) {
         return scenario.faults().stream()
                 .filter(f -> f.targets().get(0).equals("clients"))
-                .flatMap(f -> numbers(scenario, f.targets().get(1)).stream())
+                .flatMap(f -> matchingNumbers(scenario, f.targets().get(1)).stream())
                 .distinct()
                 .toList();
     }
 
-    /** Returns the numbers that a target such as {@code node-1} or {@code server-*} names. */
-    private static List<Integer> numbers(Scenario scenario, String name) {
+    /** Returns the numbers of the processes that match a target such as {@code node-1} or {@code server-*}. */
+    private static List<Integer> matchingNumbers(Scenario scenario, String name) {
         if (!name.endsWith("-*")) {
             return List.of(ProcessNames.numberOf(name));
         }
--- a/testbed/src/main/java/tansypass/testbed/model/LinkState.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkState.java
@@ -8,99 +8,99 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * The state of a link between two processes, by the faults that are active on it: when a piece of a stream or
- * a datagram that enters it now comes out. Faults may overlap: each begins and ends by itself, and all that
- * are active act together. Times are microseconds. Not thread-safe.
+ * The state of a link between two processes, which computes when a chunk of a stream or a datagram arrives at the other
+ * end. Faults may overlap: each begins and ends independently, and all active ones take effect together. Times
+ * are microseconds. Not thread-safe.
  */
 public final class LinkState {
-    /** The delay of a lost piece of a stream: the least retransmission timeout that systems use. */
+    /** The extra delay of a lost chunk of a stream: the smallest retransmission timeout of common TCP stacks. */
     private static final long RETRANSMISSION_US = 200_000;
 
     private final long delayUs;
     private final UniformRandomProvider random;
-    private final List<Fault> active = new ArrayList<>();
+    private final List<Fault> activeFaults = new ArrayList<>();
     private final long[] lastDueUs = new long[2];
 
-    /** A direction of the link: from the first end named to the second, or back. */
+    /** A direction of the link: from the first end to the second, or back. */
     public enum Direction {
         THERE,
         BACK
     }
 
-    /** Creates a link with no fault and this delay one way, in microseconds. */
+    /** Creates a link without faults and with this one-way delay, in microseconds. */
     public LinkState(long delayUs, UniformRandomProvider random) {
         this.delayUs = delayUs;
         this.random = random;
     }
 
-    /** Makes a fault active, or ends one that is active. */
+    /** Begins a fault, or ends an active one. */
     public void apply(Fault fault, boolean begins) {
         if (begins) {
-            active.add(fault);
+            activeFaults.add(fault);
         } else {
-            active.remove(fault);
+            activeFaults.remove(fault);
         }
     }
 
-    private boolean has(Kind kind, Direction direction) {
-        return active.stream().anyMatch(f -> f.kind() == kind && isOn(f, direction));
+    private boolean hasFault(Kind kind, Direction direction) {
+        return activeFaults.stream().anyMatch(f -> f.kind() == kind && affects(f, direction));
     }
 
-    private static boolean isOn(Fault fault, Direction direction) {
+    private static boolean affects(Fault fault, Direction direction) {
         return fault.direction() == FaultDirection.BOTH
                 || fault.direction().name().equals(direction.name());
     }
 
-    /** Returns whether nothing passes in this direction. */
+    /** Returns whether a fault blocks all data in this direction. */
     public boolean isCut(Direction direction) {
-        return has(Kind.CUT, direction);
+        return hasFault(Kind.CUT, direction);
     }
 
-    /** Returns whether a handshake gets no response: it needs both directions. */
+    /** Returns whether a handshake gets no response, because one of the two directions is cut. */
     public boolean blocksHandshakes() {
         return isCut(Direction.THERE) || isCut(Direction.BACK);
     }
 
-    /** Returns whether connections are reset. */
+    /** Returns whether a fault resets all connections on the link. */
     public boolean isReset() {
-        return has(Kind.RESET, Direction.THERE) || has(Kind.RESET, Direction.BACK);
+        return hasFault(Kind.RESET, Direction.THERE) || hasFault(Kind.RESET, Direction.BACK);
     }
 
-    /** Returns whether the ends of connections are not forwarded. */
+    /** Returns whether a fault hides the close or reset of a connection from the other end. */
     public boolean isHalfOpen() {
-        return active.stream().anyMatch(f -> f.kind() == Kind.HALF_OPEN);
+        return activeFaults.stream().anyMatch(f -> f.kind() == Kind.HALF_OPEN);
     }
 
-    /** Returns when the last piece that has entered comes out. */
+    /** Returns the arrival time of the last chunk sent so far, in either direction. */
     public long busyUntilUs() {
         return Math.max(lastDueUs[0], lastDueUs[1]);
     }
 
     /**
-     * Returns when copies of a datagram that enters now come out: none if it is lost, two if it is
-     * duplicated. It may overtake an earlier one.
+     * Returns the arrival times of the copies of a datagram that is sent now: none if it is lost, two if it is
+     * duplicated. The datagram may overtake earlier ones.
      */
     public List<Long> datagramDueUs(Direction direction, long nowUs, int bytes) {
         long transitUs = delayUs;
         boolean isDuplicated = false;
-        for (Fault fault : active) {
-            if (!isOn(fault, direction)) {
+        for (Fault fault : activeFaults) {
+            if (!affects(fault, direction)) {
                 continue;
             }
-            boolean hit = random.nextDouble() < fault.amount();
+            boolean isSelected = random.nextDouble() < fault.amount();
             switch (fault.kind()) {
                 case CUT -> {
                     return List.of();
                 }
                 case LOSS -> {
-                    if (hit) {
+                    if (isSelected) {
                         return List.of();
                     }
                 }
                 case DELAY -> transitUs += fault.timeUs();
                 case JITTER -> transitUs += Math.round(random.nextDouble() * fault.timeUs());
-                case REORDER -> transitUs += hit ? fault.timeUs() : 0;
-                case DUPLICATE -> isDuplicated |= hit;
+                case REORDER -> transitUs += isSelected ? fault.timeUs() : 0;
+                case DUPLICATE -> isDuplicated |= isSelected;
                 case RATE -> transitUs += Math.round(bytes * 1e6 / fault.amount());
                 default -> {}
             }
@@ -109,24 +109,24 @@
         return isDuplicated ? List.of(dueUs, dueUs) : List.of(dueUs);
     }
 
-    /** Returns when a piece of a stream that enters now comes out, never before an earlier one. */
+    /** Returns the arrival time of a stream chunk that is sent now; it is never before that of an earlier chunk. */
     public long streamDueUs(Direction direction, long nowUs, int bytes) {
         long transitUs = delayUs;
-        double rate = Double.MAX_VALUE;
-        for (Fault fault : active) {
-            if (isOn(fault, direction)) {
+        double bytesPerS = Double.MAX_VALUE;
+        for (Fault fault : activeFaults) {
+            if (affects(fault, direction)) {
                 transitUs += switch (fault.kind()) {
                     case DELAY -> fault.timeUs();
                     case LOSS -> random.nextDouble() < fault.amount() ? RETRANSMISSION_US : 0;
                     case JITTER -> Math.round(random.nextDouble() * fault.timeUs());
                     default -> 0;
                 };
-                rate = fault.kind() == Kind.RATE ? Math.min(rate, fault.amount()) : rate;
+                bytesPerS = fault.kind() == Kind.RATE ? Math.min(bytesPerS, fault.amount()) : bytesPerS;
             }
         }
         int index = direction.ordinal();
-        long sendUs = rate == Double.MAX_VALUE ? 0 : Math.round(bytes * 1e6 / rate);
-        // Under a limit of the rate, pieces also wait for one another.
+        long sendUs = bytesPerS == Double.MAX_VALUE ? 0 : Math.round(bytes * 1e6 / bytesPerS);
+        // Under a rate limit, a chunk is sent only after the earlier chunks.
         long dueUs = sendUs == 0
                 ? Math.max(nowUs + transitUs, lastDueUs[index])
                 : Math.max(nowUs + transitUs, lastDueUs[index]) + sendUs;
--- a/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
+++ b/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
@@ -12,18 +12,19 @@
     private MembershipAgreement() {}
 
     /**
-     * Checks the views, if the scenario has a cluster and waits long enough at its end.
+     * Checks the views if the nodes form a cluster and the settle time is long enough for the views to become equal.
      *
-     * @param nowUs time since the load began, in microseconds
+     * @param nowUs the time since the load began, in microseconds
      */
     public static void check(
             Scenario scenario, InvariantChecker checker, List<? extends NodeHandle> nodes, long nowUs) {
         checker.membershipChecker()
                 .filter(members -> members.isAgreementDue(scenario.settleUs()))
-                .ifPresent(members -> members.checkAgreement(nowUs, presentByView(nodes)));
+                .ifPresent(members -> members.checkAgreement(nowUs, presentMembersByViewer(nodes)));
     }
 
-    private static Map<Integer, Set<Integer>> presentByView(List<? extends NodeHandle> nodes) {
+    /** Returns, by node that is up, the nodes that are present in its view. */
+    private static Map<Integer, Set<Integer>> presentMembersByViewer(List<? extends NodeHandle> nodes) {
         Map<Integer, Set<Integer>> present = new TreeMap<>();
         for (NodeHandle node : nodes) {
             if (node.isUp()) {
--- a/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
@@ -12,11 +12,11 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * A node's name and address, which outlive its processes, and what faults do to the process that it has now.
- * Subclasses differ in what a process is. All calls come from the run's one thread.
+ * A node of a run, across the starts and ends of its processes, and the effects of faults on it. Subclasses run either
+ * simulated or real processes. All calls come from the run's single thread.
  */
 public abstract class NodeHandle {
-    /** SIGKILL comes no earlier than the longest deadline and this time after SIGTERM (PROTOCOL). */
+    /** After SIGTERM, the platform's protocol allows SIGKILL once the longest deadline and this time have passed. */
     private static final long TERMINATION_GRACE_US = 700_000;
 
     protected final Scenario scenario;
@@ -32,7 +32,7 @@
     /**
      * Creates a node without a process.
      *
-     * @param nowUs gives the time since the load began, in microseconds
+     * @param nowUs returns the time since the load began, in microseconds
      */
     protected NodeHandle(
             int number, Scenario scenario, InvariantChecker checker, Scheduler scheduler, LongSupplier nowUs) {
@@ -43,22 +43,22 @@
         this.nowUs = nowUs;
     }
 
-    /** Returns its number, from 0. */
+    /** Returns the number of the node, from 0. */
     public final int number() {
         return number;
     }
 
-    /** Returns its name, such as {@code node-0}. */
+    /** Returns the name of the node, such as {@code node-0}. */
     public final String name() {
         return ProcessNames.node(number);
     }
 
-    /** Returns a number that changes with each start and end of its process: later events may be outdated. */
+    /** Returns a number that changes with each start and end of a process, by which outdated events are recognized. */
     public final int generation() {
         return generation;
     }
 
-    /** Makes what was scheduled for the present process outdated. */
+    /** Changes the generation, so that events scheduled for the present process are outdated. */
     protected final void advanceGeneration() {
         generation++;
     }
@@ -68,68 +68,69 @@
         return nowUs.getAsLong();
     }
 
-    /** Returns whether its process is stopped by SIGSTOP. */
+    /** Returns whether the process is paused by SIGSTOP. */
     protected abstract boolean isPaused();
 
-    /** Returns whether it has a process. */
+    /** Returns whether the node has a process. */
     public abstract boolean isAlive();
 
-    /** Returns whether it is a running member, which has to be present in all other views. */
+    /** Returns whether the node is a running member, which has to be present in the views of all members. */
     protected abstract boolean isUp();
 
-    /** Returns the nodes that are present in its membership view; none if there is no view. */
+    /** Returns the nodes that are present in this node's membership view; empty if there is no view. */
     protected abstract Set<Integer> presentMembers();
 
-    /** Stops its process (SIGSTOP), or resumes it (SIGCONT). */
+    /** Pauses the process (SIGSTOP) or resumes it (SIGCONT). */
     public abstract void setPaused(boolean paused);
 
-    /** Kills its process (SIGKILL). */
+    /** Kills the process (SIGKILL). */
     public abstract void kill();
 
-    /** Starts the graceful shutdown of its process (SIGTERM). */
+    /** Starts the graceful shutdown of the process (SIGTERM). */
     public abstract void terminate();
 
-    /** Starts a process again once a fault that ended the old one is over. */
+    /** Starts a process again, after the end of a fault that ended the previous process. */
     public abstract void restart();
 
-    /** A fault of its process or of a link to another node begins or ends. */
+    /** Notifies the checker that a fault of the process or of a link to another node begins or ends. */
     public final void faultChanged(boolean begins) {
         checker.membershipChecker().ifPresent(members -> members.faultChanged(number, begins, nowUs()));
     }
 
-    /** Its link from the clients has a fault from now on. */
+    /** Excuses the node from now on because its link from the clients has a fault. */
     final void clientLinkFaultBegan(Fault fault) {
         linkExcuses.put(fault, checker.excuseNode(nowUs(), number));
     }
 
-    /** The fault is over, and what it delayed has passed at {@code clearedUs}. */
+    /** Ends the excuse for a link fault at {@code clearedUs}, when all data delayed by the fault is delivered. */
     final void clientLinkFaultEnded(Fault fault, long clearedUs) {
         linkExcuses.remove(fault).end(clearedUs);
     }
 
-    /** Excuses the node from now on because its process is stopped. */
+    /** Excuses the node from now on because its process is paused. */
     protected final void beginPauseExcuse() {
         pauseExcuse = Optional.of(checker.excuseNode(nowUs(), number));
     }
 
-    /** Ends the excuse of a stopped process, if there is one. */
+    /** Ends the excuse for a paused process, if there is one. */
     protected final void endPauseExcuse() {
         pauseExcuse.ifPresent(excuse -> excuse.end(nowUs()));
     }
 
-    /** Kills the present process if it has not ended in the time that it has for it after SIGTERM. */
+    /** Schedules a kill of the present process, for the case that it has not ended in time after SIGTERM. */
     protected final void enforceTermination() {
-        int terminating = generation;
-        scheduler.after(scenario.longestDeadlineUs() + TERMINATION_GRACE_US, () -> killIfStillAlive(terminating));
+        int terminatingGeneration = generation;
+        scheduler.after(
+                scenario.longestDeadlineUs() + TERMINATION_GRACE_US, () -> killIfStillAlive(terminatingGeneration));
     }
 
-    private void killIfStillAlive(int terminating) {
-        if (generation != terminating) {
+    private void killIfStillAlive(int terminatingGeneration) {
+        if (generation != terminatingGeneration) {
             return;
         }
         if (isPaused()) {
-            // A stopped process has not seen the signal yet.
-            scheduler.after(TERMINATION_GRACE_US, () -> killIfStillAlive(terminating));
+            // A paused process has not received SIGTERM yet.
+            scheduler.after(TERMINATION_GRACE_US, () -> killIfStillAlive(terminatingGeneration));
         } else if (isAlive()) {
             checker.resourceLeaked(nowUs(), name() + " is still there after SIGTERM");
             kill();
--- a/testbed/src/main/java/tansypass/testbed/model/PoissonArrivals.java
+++ b/testbed/src/main/java/tansypass/testbed/model/PoissonArrivals.java
@@ -6,38 +6,38 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** An open-loop Poisson stream of requests: when each is due, its class and its id. Not thread-safe. */
+/** Draws the due times, classes and ids of an open-loop Poisson stream of requests. Not thread-safe. */
 public final class PoissonArrivals {
     private final double meanGapUs;
-    private final ZigguratSampler.Exponential gap;
-    private final DiscreteProbabilityCollectionSampler<RequestClass> classes;
+    private final ZigguratSampler.Exponential gapSampler;
+    private final DiscreteProbabilityCollectionSampler<RequestClass> classSampler;
     private final UniformRandomProvider random;
-    private double atUs;
+    private double dueUs;
 
-    /** Creates a stream whose first request is due one random gap after {@code startUs}. */
+    /** Creates a stream; its first request is due a random gap after {@code startUs}. */
     public PoissonArrivals(double ratePerS, List<RequestClass> classes, long startUs, UniformRandomProvider random) {
         meanGapUs = 1e6 / ratePerS;
         this.random = random;
-        gap = ZigguratSampler.Exponential.of(random);
-        this.classes = new DiscreteProbabilityCollectionSampler<>(
+        gapSampler = ZigguratSampler.Exponential.of(random);
+        classSampler = new DiscreteProbabilityCollectionSampler<>(
                 random,
                 classes,
                 classes.stream().mapToDouble(RequestClass::share).toArray());
-        atUs = startUs;
+        dueUs = startUs;
     }
 
-    /** Moves on to the next request and returns when it is due, in microseconds. */
+    /** Advances to the next request and returns the time at which it is due, in microseconds. */
     public long nextArrivalUs() {
-        atUs += gap.sample() * meanGapUs;
-        return Math.round(atUs);
+        dueUs += gapSampler.sample() * meanGapUs;
+        return Math.round(dueUs);
     }
 
-    /** Draws the class of a request. */
+    /** Draws the class of the next request. */
     public RequestClass nextClass() {
-        return classes.sample();
+        return classSampler.sample();
     }
 
-    /** Draws the id of a request; ids do not repeat in practice and cannot be guessed. */
+    /** Draws the id of the next request; random ids practically never repeat, and a node cannot guess them. */
     public long nextId() {
         return random.nextLong();
     }
--- a/testbed/src/main/java/tansypass/testbed/model/ProcessNames.java
+++ b/testbed/src/main/java/tansypass/testbed/model/ProcessNames.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.model;
 
-/** The names of nodes and servers: a kind and a number from 0, such as {@code node-0}. */
+/** The names of nodes and servers, which consist of a kind and a number from 0, such as {@code node-0}. */
 public final class ProcessNames {
     private ProcessNames() {}
 
@@ -15,7 +15,7 @@
     }
 
     /**
-     * Returns the number in a name.
+     * Returns the number in the name of a node or server.
      *
      * @throws NumberFormatException if the name does not end in a number
      */
--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -20,9 +20,9 @@
 import tansypass.testbed.scenario.Scenario.Servers;
 
 /**
- * A web server of the platform's protocol, without its sockets: cores that execute one request each, a bounded
- * queue, a slow start, the cost of a handshake, a table of connections, idempotency keys, and faults. Its user
- * delivers complete requests and sends the responses. Times are microseconds. Not thread-safe.
+ * A model of a web server that follows the platform's protocol, without sockets. It has cores that execute one request
+ * each, a bounded queue, a slow start, a handshake cost, a connection limit, a cache of responses by idempotency key,
+ * and faults. The caller delivers complete requests and sends the responses. Times are microseconds. Not thread-safe.
  */
 public final class WebServer {
     private static final int OK = 200;
@@ -42,24 +42,24 @@
     private int connections;
     private double speedFactor = 1;
     private double errorRate;
-    private boolean hanging;
-    private boolean draining;
+    private boolean isHanging;
+    private boolean isDraining;
 
     /**
      * A complete response.
      *
-     * @param loadReport empty if the server sends none
-     * @param isRejected whether the request is known not to have been executed
+     * @param loadReport the value of the load report header; empty if the server sends none
+     * @param isRejected whether the server rejected the request without executing it
      */
     public record Response(int status, String body, Optional<String> loadReport, boolean isRejected) {}
 
-    /** The response to a keyed request, for its repeats. */
+    /** The cached response to a keyed request, which its repeats get until {@code untilUs}. */
     private record CachedResponse(String body, long untilUs) {}
 
-    /** A request that is queued or executing. */
+    /** A request that is queued or being executed. */
     public final class Execution {
         private final RequestClass requestClass;
-        /** Empty unless the class of the request is keyed. */
+        /** The idempotency key; empty unless the class of the request is keyed. */
         private final Optional<String> key;
 
         private final long workUs;
@@ -69,12 +69,12 @@
 
         private Execution(RequestClass requestClass, Optional<String> key, long workUs, Consumer<Response> handler) {
             this.requestClass = requestClass;
-            this.key = key.filter(any -> requestClass.idempotency() == Idempotency.KEYED);
+            this.key = key.filter(ignored -> requestClass.idempotency() == Idempotency.KEYED);
             this.workUs = workUs;
             this.handler = handler;
         }
 
-        /** Removes it from the queue or its core: its client has cancelled it. No effect once it is over. */
+        /** Cancels the request, so that it leaves the queue or its core. No effect once the request is over. */
         public void cancel() {
             if (!isOver) {
                 isOver = true;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Creates a server that started long ago, so that its slow start is over. */
+    /** Creates a running server whose slow start is over. */
     public WebServer(String name, Servers spec, Scheduler scheduler, UniformRandomProvider random) {
         this.name = name;
         this.spec = spec;
@@ -94,12 +94,12 @@
         startedUs = scheduler.nowUs() - spec.slowStartUs();
     }
 
-    /** Returns its name, such as {@code server-0}. */
+    /** Returns the name of the server, such as {@code server-0}. */
     public String name() {
         return name;
     }
 
-    /** Adds a connection to its table; returns false if that is full. */
+    /** Accepts a connection; returns false if the server already has the maximum number. */
     public boolean acceptConnection() {
         if (connections >= spec.maxConnections()) {
             return false;
@@ -108,12 +108,12 @@
         return true;
     }
 
-    /** A connection has ended; one from before a restart is in no table. */
+    /** Called when a connection has ended. Connections from before a restart are no longer counted. */
     public void connectionClosed() {
         connections = Math.max(0, connections - 1);
     }
 
-    /** Returns for how long a connection may be idle. */
+    /** Returns the time after which the server closes an idle connection. */
     public long idleTimeoutUs() {
         return spec.idleTimeoutUs();
     }
@@ -121,17 +121,17 @@
     /**
      * Queues or rejects a complete request.
      *
-     * @param key the idempotency key, which counts only if the class of the request has keyed requests
-     * @param isFirstOnConnection whether it is the first on its connection, which costs the handshake
+     * @param key the idempotency key, which is ignored unless the class of the request is keyed
+     * @param isFirstOnConnection whether the request is the first one on its connection, which adds the handshake cost
      */
     public Execution serve(
             RequestClass requestClass, Optional<String> key, boolean isFirstOnConnection, Consumer<Response> handler) {
         long workUs = Math.round(workFactor.sample() * requestClass.meanWorkUs())
                 + (isFirstOnConnection ? spec.handshakeWorkUs() : 0);
         Execution execution = new Execution(requestClass, key, workUs, handler);
-        if (draining || (running.size() >= spec.cores() && queue.size() >= spec.maxQueued())) {
+        if (isDraining || (running.size() >= spec.cores() && queue.size() >= spec.maxQueued())) {
             execution.isOver = true;
-            sendOrDefer(() -> handler.accept(new Response(REJECTED, "", report(), true)));
+            sendOrDefer(() -> handler.accept(new Response(REJECTED, "", loadReport(), true)));
         } else {
             queue.add(execution);
             startQueued();
@@ -140,7 +140,7 @@
     }
 
     private void startQueued() {
-        while (!hanging && running.size() < spec.cores() && !queue.isEmpty()) {
+        while (!isHanging && running.size() < spec.cores() && !queue.isEmpty()) {
             Execution execution = queue.poll();
             running.add(execution);
             long serviceUs = Math.max(1, Math.round(execution.workUs / speed()));
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Returns its present speed as a share of its full speed. */
+    /** Returns the present speed as a share of the full speed. */
     double speed() {
         double warmedUpShare = spec.slowStartUs() == 0
                 ? 1
@@ -157,11 +157,11 @@
     }
 
     private void finish(Execution execution) {
-        if (hanging) {
+        if (isHanging) {
             deferredResponses.add(() -> finish(execution));
         } else if (!execution.isOver) {
             execution.isOver = true;
-            respond(execution);
+            sendResponse(execution);
             release(execution);
         }
     }
@@ -173,13 +173,13 @@
         }
     }
 
-    private void respond(Execution execution) {
+    private void sendResponse(Execution execution) {
         if (random.nextDouble() < errorRate) {
-            execution.handler.accept(new Response(ERROR, "error", report(), false));
+            execution.handler.accept(new Response(ERROR, "error", loadReport(), false));
             return;
         }
         String body = execution.key.flatMap(this::findCachedBody).orElseGet(() -> produceBody(execution));
-        execution.handler.accept(new Response(OK, body, report(), false));
+        execution.handler.accept(new Response(OK, body, loadReport(), false));
     }
 
     private Optional<String> findCachedBody(String key) {
@@ -200,7 +200,7 @@
         scheduler.after(response.untilUs - scheduler.nowUs(), () -> cachedResponses.remove(key, response));
     }
 
-    private Optional<String> report() {
+    private Optional<String> loadReport() {
         if (!spec.sendsLoadReports()) {
             return Optional.empty();
         }
@@ -209,9 +209,9 @@
         return Optional.of("inflight=" + inFlight + ",queue=" + queue.size() + ",util=" + utilization);
     }
 
-    /** A server that hangs sends nothing. */
+    /** Sends a response, or defers it while the server hangs. */
     private void sendOrDefer(Runnable response) {
-        if (hanging) {
+        if (isHanging) {
             deferredResponses.add(response);
         } else {
             response.run();
@@ -219,38 +219,38 @@
     }
 
     /**
-     * Begins or ends a fault, except that its process is killed.
+     * Begins or ends a fault of the server other than the kill of its process.
      *
-     * @throws IllegalArgumentException if the fault is none of a server's own
+     * @throws IllegalArgumentException if the fault is not one of a server, or is a kill
      */
     public void applyFault(Fault fault, boolean begins) {
         switch (fault.kind()) {
-            case DRAIN -> draining = begins;
+            case DRAIN -> isDraining = begins;
             case CHOKE -> speedFactor = begins ? Math.max(0.001, fault.amount()) : 1;
             case HANG -> setHanging(begins);
             case ERRORS -> errorRate = begins ? fault.amount() : 0;
-            default -> throw new IllegalArgumentException(fault + " is not a server's own");
+            default -> throw new IllegalArgumentException("fault does not apply to a web server: " + fault);
         }
     }
 
-    /** Defers responses, or sends those that were deferred. */
-    private void setHanging(boolean on) {
-        hanging = on;
-        if (!on) {
-            List<Runnable> waiting = new ArrayList<>(deferredResponses);
+    /** Starts to defer responses, or sends the deferred ones and executes queued requests again. */
+    private void setHanging(boolean hanging) {
+        isHanging = hanging;
+        if (!hanging) {
+            List<Runnable> responses = new ArrayList<>(deferredResponses);
             deferredResponses.clear();
-            waiting.forEach(Runnable::run);
+            responses.forEach(Runnable::run);
             startQueued();
         }
     }
 
-    /** Its process is killed: requests, connections and cached responses are lost. */
+    /** Kills the process, which loses its requests, connections and cached responses. */
     public void stop() {
-        queue.forEach(lost -> lost.isOver = true);
+        queue.forEach(execution -> execution.isOver = true);
         queue.clear();
-        running.forEach(lost -> {
-            lost.isOver = true;
-            lost.timer.cancel();
+        running.forEach(execution -> {
+            execution.isOver = true;
+            execution.timer.cancel();
         });
         running.clear();
         deferredResponses.clear();
@@ -258,7 +258,7 @@
         connections = 0;
     }
 
-    /** Its process has started again, and its slow start begins. */
+    /** Starts the process again, and begins its slow start. */
     public void start() {
         startedUs = scheduler.nowUs();
     }
--- a/testbed/src/main/java/tansypass/testbed/model/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * State machines of web servers, discovery, links, load and faults, without sockets or time of their own, and what
- * runs in virtual time and on real processes share. Single-threaded: each run calls them from its one thread.
+ * The parts that runs in virtual time and runs on real processes share: models of web servers, discovery, links, load
+ * and faults, without sockets or clocks of their own. Single-threaded: each run calls them from one thread.
  */
 package tansypass.testbed.model;
