--- a/testbed/src/main/java/tansypass/testbed/exploration/RandomFaultGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/RandomFaultGenerator.java
@@ -10,14 +10,14 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 import tansypass.testbed.scenario.ScenarioFile;
 
-/** Draws random faults for a scenario; equal random numbers give equal faults. */
+/** Draws random faults for a scenario. Equal scenarios and equal random numbers give equal faults. */
 final class RandomFaultGenerator {
     private static final int MAX_FAULTS = 8;
-    /** One target in so many is all processes of a kind. */
+    /** One process target in 6 is a group of all nodes or all servers. */
     private static final int ALL_TARGETS_RATIO = 6;
 
     private static final double MAX_BYTES_PER_S = 200_000;
-    private static final long MAX_TIME_US = 600_000;
+    private static final long MAX_FAULT_TIME_US = 600_000;
 
     private final Scenario scenario;
     private final UniformRandomProvider random;
@@ -27,60 +27,61 @@
         this.random = random;
     }
 
-    /** Draws one to eight faults, in the order of their start. */
+    /** Draws one to eight faults and returns them in the order of their start. */
     List<Fault> draw() {
         List<Fault> faults = new ArrayList<>();
         int count = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < count; i++) {
-            faults.add(fault());
+            faults.add(drawFault());
         }
         faults.sort(Comparator.comparingLong(Fault::startUs));
         return faults;
     }
 
-    private Fault fault() {
-        int kinds = Kind.values().length;
-        Kind kind = Kind.values()[random.nextInt(scenario.cluster() == null ? Kind.DUPLICATE.ordinal() : kinds)];
-        long atUs = random.nextLong(scenario.lengthUs());
-        // Short faults are as frequent as long ones: those that just miss something matter as much.
+    private Fault drawFault() {
+        int kindCount = Kind.values().length;
+        Kind kind = Kind.values()[random.nextInt(scenario.cluster() == null ? Kind.DUPLICATE.ordinal() : kindCount)];
+        long startUs = random.nextLong(scenario.lengthUs());
+        // The cube spreads durations over orders of magnitude, because short faults can reveal as many bugs as long
+        // ones.
         long halfLengthUs = scenario.lengthUs() / 2;
-        long lastsUs = (long) (halfLengthUs * Math.pow(random.nextDouble(), 3));
+        long durationUs = (long) (halfLengthUs * Math.pow(random.nextDouble(), 3));
         double amount = kind == Kind.RATE
                 ? ScenarioFile.MIN_RATE_BYTES_PER_S + random.nextDouble() * MAX_BYTES_PER_S
                 : random.nextDouble();
         return new Fault(
                 kind,
-                atUs,
-                lastsUs,
-                target(kind),
+                startUs,
+                durationUs,
+                drawTargets(kind),
                 FaultDirection.values()[random.nextInt(FaultDirection.values().length)],
                 amount,
-                random.nextLong(MAX_TIME_US));
+                random.nextLong(MAX_FAULT_TIME_US));
     }
 
-    private List<String> target(Kind kind) {
+    private List<String> drawTargets(Kind kind) {
         return switch (kind) {
-            case KILL -> List.of(random.nextBoolean() ? node() : server());
-            case TERM, PAUSE -> List.of(node());
-            case DRAIN, CHOKE, HANG, ERRORS -> List.of(server());
+            case KILL -> List.of(random.nextBoolean() ? drawNode() : drawServer());
+            case TERM, PAUSE -> List.of(drawNode());
+            case DRAIN, CHOKE, HANG, ERRORS -> List.of(drawServer());
             case SILENCE -> List.of("discovery");
-            case DUPLICATE, REORDER -> List.of(node(), node());
+            case DUPLICATE, REORDER -> List.of(drawNode(), drawNode());
             default ->
                 scenario.cluster() != null && random.nextBoolean()
-                        ? List.of(node(), node())
-                        : random.nextInt(4) == 0 ? List.of("clients", node()) : List.of(node(), server());
+                        ? List.of(drawNode(), drawNode())
+                        : random.nextInt(4) == 0 ? List.of("clients", drawNode()) : List.of(drawNode(), drawServer());
         };
     }
 
-    private String node() {
-        return one("node-", scenario.nodes().count());
+    private String drawNode() {
+        return drawProcess("node-", scenario.nodes().count());
     }
 
-    private String server() {
-        return one("server-", scenario.servers().count());
+    private String drawServer() {
+        return drawProcess("server-", scenario.servers().count());
     }
 
-    private String one(String kind, int count) {
+    private String drawProcess(String kind, int count) {
         return kind + (random.nextInt(ALL_TARGETS_RATIO) == 0 ? "*" : Integer.toString(random.nextInt(count)));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
@@ -18,44 +18,44 @@
 import tansypass.testbed.scenario.Scenario.Fault;
 
 /**
- * Searches schedules of random faults for one that violates an invariant, and shrinks it: fewer faults, then
- * shorter ones (Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input, 2002; its
- * reduction one by one is enough for the few faults of a schedule).
+ * Searches schedules of random faults for one that violates an invariant. Shrinks the schedule that it finds: first
+ * removes faults, then halves their durations (delta debugging, Zeller and Hildebrandt, Simplifying and Isolating
+ * Failure-Inducing Input, 2002). A schedule has few faults, so it suffices to change one fault at a time.
  */
 public final class ScheduleExplorer {
-    /** A fault is not made shorter than this. */
-    private static final long SHORTEST_US = 10_000;
+    /** Shrinking makes no fault shorter than this. */
+    private static final long MIN_DURATION_US = 10_000;
 
     private final Scenario base;
     private final Runner runner;
     private final IntConsumer progress;
 
-    /** Runs a scenario; called by several threads at once. */
+    /** Runs scenarios; called by several threads at the same time. */
     public interface Runner {
         /** Runs the scenario and returns its checker. */
         InvariantChecker run(Scenario scenario, long seed);
     }
 
     /**
-     * A violation that was found.
+     * A violation that the search found.
      *
-     * @param smallest the scenario with the fewest and shortest faults that still cause it
+     * @param smallest the scenario after shrinking, which still violates the same invariant
      */
     public record Finding(Scenario smallest, long seed, Violation violation) {}
 
     /**
      * The result of a search.
      *
-     * @param tried schedules run, not counting those of shrinking one
+     * @param tried the number of schedules run, without those of the shrinking
      */
     public record Result(int tried, Optional<Finding> found) {}
 
-    /** Creates an explorer; the scenario's own faults are injected together with the random ones. */
+    /** Creates an explorer that injects the scenario's own faults together with the random ones. */
     public ScheduleExplorer(Scenario base, Runner runner) {
         this(base, runner, tried -> {});
     }
 
-    /** Creates an explorer; {@code progress} gets the number of schedules run so far, on any of the threads. */
+    /** Creates an explorer; {@code progress} gets the number of schedules started so far, on any of the threads. */
     public ScheduleExplorer(Scenario base, Runner runner, IntConsumer progress) {
         this.base = base;
         this.runner = runner;
@@ -63,12 +63,12 @@
     }
 
     /**
-     * Runs schedules of the seeds from {@code firstSeed} on, until one violates an invariant, the budget in
-     * milliseconds is used up, or {@code maxSchedules} have been run.
+     * Runs the schedules of the seeds from {@code firstSeed} on, until one violates an invariant, the time budget is
+     * used up, or {@code maxSchedules} have been run.
      */
     public Result explore(long firstSeed, long budgetMs, int maxSchedules, int threads) throws InterruptedException {
-        long untilNs = System.nanoTime() + budgetMs * 1_000_000;
-        Search search = new Search(firstSeed, firstSeed + maxSchedules, untilNs);
+        long endNs = System.nanoTime() + budgetMs * 1_000_000;
+        Search search = new Search(firstSeed, firstSeed + maxSchedules, endNs);
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<?>> workers = new ArrayList<>();
@@ -79,34 +79,34 @@
                 worker.get();
             }
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run failed", e.getCause());
+            throw new IllegalStateException("schedule run failed", e.getCause());
         } finally {
             pool.shutdownNow();
         }
         return new Result(search.tried.get(), search.violatingSeed().map(seed -> shrink(randomized(seed), seed)));
     }
 
-    /** Runs the schedules of a range of seeds, on several threads at once. */
+    /** A search through a range of seeds, which several threads run at the same time. */
     private final class Search implements Runnable {
         private static final long NONE = Long.MAX_VALUE;
 
         private final long endSeed;
-        private final long untilNs;
+        private final long endNs;
         private final AtomicLong nextSeed;
         private final AtomicInteger tried = new AtomicInteger();
-        /** The lowest seed with a violation: which of two threads comes first must not decide the result. */
+        /** The lowest seed with a violation, so that the result does not depend on which of two threads is first. */
         private final AtomicLong violatingSeed = new AtomicLong(NONE);
 
-        Search(long firstSeed, long endSeed, long untilNs) {
+        Search(long firstSeed, long endSeed, long endNs) {
             this.endSeed = endSeed;
-            this.untilNs = untilNs;
+            this.endNs = endNs;
             nextSeed = new AtomicLong(firstSeed);
         }
 
         @Override
         public void run() {
             long seed = nextSeed.getAndIncrement();
-            while (seed < endSeed && seed < violatingSeed.get() && System.nanoTime() < untilNs) {
+            while (seed < endSeed && seed < violatingSeed.get() && System.nanoTime() < endNs) {
                 progress.accept(tried.incrementAndGet());
                 if (runner.run(randomized(seed), seed).violationCount() > 0) {
                     violatingSeed.accumulateAndGet(seed, Math::min);
@@ -127,18 +127,18 @@
         return base.withFaults(faults);
     }
 
-    private Finding shrink(Scenario found, long seed) {
-        Violation violation = runner.run(found, seed).violations().get(0);
-        Scenario smallest = found;
-        boolean smaller = true;
-        while (smaller) {
-            smaller = false;
-            for (Scenario next : smallerThan(smallest)) {
-                Optional<Violation> same = same(runner.run(next, seed), violation.invariant());
-                if (same.isPresent()) {
-                    smallest = next;
-                    violation = same.get();
-                    smaller = true;
+    private Finding shrink(Scenario violating, long seed) {
+        Violation violation = runner.run(violating, seed).violations().get(0);
+        Scenario smallest = violating;
+        boolean hasShrunk = true;
+        while (hasShrunk) {
+            hasShrunk = false;
+            for (Scenario candidate : reductionsOf(smallest)) {
+                Optional<Violation> sameViolation = findViolation(runner.run(candidate, seed), violation.invariant());
+                if (sameViolation.isPresent()) {
+                    smallest = candidate;
+                    violation = sameViolation.get();
+                    hasShrunk = true;
                     break;
                 }
             }
@@ -146,25 +146,25 @@
         return new Finding(smallest, seed, violation);
     }
 
-    private static Optional<Violation> same(InvariantChecker checker, Invariant invariant) {
+    private static Optional<Violation> findViolation(InvariantChecker checker, Invariant invariant) {
         return checker.violations().stream()
                 .filter(v -> v.invariant() == invariant)
                 .findFirst();
     }
 
-    /** Returns the scenarios with one fault less, or with one of half the length. */
-    private static List<Scenario> smallerThan(Scenario scenario) {
-        List<Scenario> smaller = new ArrayList<>();
+    /** Returns the scenarios with one fault removed, followed by those with one fault of half the duration. */
+    private static List<Scenario> reductionsOf(Scenario scenario) {
+        List<Scenario> reductions = new ArrayList<>();
         for (int i = 0; i < scenario.faults().size(); i++) {
-            List<Fault> fewer = new ArrayList<>(scenario.faults());
-            fewer.remove(i);
-            smaller.add(scenario.withFaults(fewer));
+            List<Fault> remaining = new ArrayList<>(scenario.faults());
+            remaining.remove(i);
+            reductions.add(scenario.withFaults(remaining));
         }
         for (int i = 0; i < scenario.faults().size(); i++) {
             Fault fault = scenario.faults().get(i);
-            if (fault.durationUs() / 2 >= SHORTEST_US) {
-                List<Fault> shorter = new ArrayList<>(scenario.faults());
-                shorter.set(
+            if (fault.durationUs() / 2 >= MIN_DURATION_US) {
+                List<Fault> shortened = new ArrayList<>(scenario.faults());
+                shortened.set(
                         i,
                         new Fault(
                                 fault.kind(),
@@ -174,9 +174,9 @@
                                 fault.direction(),
                                 fault.amount(),
                                 fault.timeUs()));
-                smaller.add(scenario.withFaults(shorter));
+                reductions.add(scenario.withFaults(shortened));
             }
         }
-        return smaller;
+        return reductions;
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/exploration/package-info.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Search for schedules of random faults that violate an invariant, and the shrinking of those found.
- */
+/** Searches for schedules of random faults that violate an invariant, and shrinks those that it finds. */
 package tansypass.testbed.exploration;
