--- a/testbed/src/test/java/tansypass/testbed/TestScenarios.java
+++ b/testbed/src/test/java/tansypass/testbed/TestScenarios.java
@@ -4,9 +4,9 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
 
-/** Scenarios for tests. */
+/** Scenarios for tests, and their parts. */
 public final class TestScenarios {
-    /** Two nodes and four servers in two zones, a request class of each idempotency, and no fault. */
+    /** A scenario with two nodes, four servers, two zones, one request class of each idempotency, and no fault. */
     public static final String SMALL = """
             name = "small"
             length = "4s"
@@ -32,7 +32,7 @@
 
     private TestScenarios() {}
 
-    /** Parses a scenario, which has to be valid. */
+    /** Parses a scenario; fails the test if it is invalid. */
     public static Scenario of(String text) {
         try {
             return ScenarioFile.parse(text, "world");
@@ -41,10 +41,10 @@
         }
     }
 
-    /** Returns the lines of a fault, which can be added at the end of a scenario. */
-    public static String fault(String kind, String on, String at, String lasts, String more) {
-        return "[[faults]]\nkind = \"" + kind + "\"\non = [" + on + "]\nat = \"" + at + "\"\nlasts = \""
-                + lasts
-                + "\"\n" + more + "\n";
+    /** Returns the TOML lines of a fault, to be appended to a scenario. */
+    public static String fault(String kind, String targets, String start, String duration, String moreLines) {
+        return "[[faults]]\nkind = \"" + kind + "\"\non = [" + targets + "]\nat = \"" + start + "\"\nlasts = \""
+                + duration
+                + "\"\n" + moreLines + "\n";
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
@@ -28,8 +28,11 @@
 import tansypass.testbed.simulation.SimulatedNetwork;
 import tansypass.testbed.simulation.SimulationRun;
 
-/** For each invariant a bug is injected that shows only under some fault, and exploring has to find it. */
-class PlantedFaultsTest {
+/**
+ * Each test injects a bug that violates one invariant, and only under some fault. Exploring schedules has to find the
+ * violation; without a bug it must find none.
+ */
+class InjectedBugsTest {
     private static final int MAX_RUNS = 400;
     private static final long BUDGET_MS = 60_000;
     private static final Scenario SCENARIO = TestScenarios.of(TestScenarios.SMALL);
@@ -41,39 +44,40 @@
                 .found();
     }
 
-    private static void assertFinds(Invariant invariant, NodeParts faulty) throws InterruptedException {
-        ScheduleExplorer.Finding found = explore(faulty, MAX_RUNS).orElseThrow(() -> new AssertionError("not found"));
+    private static void assertFinds(Invariant invariant, NodeParts faultyParts) throws InterruptedException {
+        ScheduleExplorer.Finding found = explore(faultyParts, MAX_RUNS)
+                .orElseThrow(() -> new AssertionError("no violation found in " + MAX_RUNS + " schedules"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallest().faults().size() <= 2, found.toString());
-        // The scenario as a file gives the same violation, and none with the product's own parts.
+        // Written to a file and read again, the scenario gives the same violation, and none with the product's parts.
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
-        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faulty);
+        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faultyParts);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
         assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
     }
 
-    /** A balancer whose calls are intercepted. */
+    /** Parts with a balancer whose calls can be changed before they run. */
     private abstract static class InterceptedBalancer implements NodeParts {
         @Override
         public LoadBalancer createBalancer(BalancerSettings settings, long seed, LoadBalancerActions actions) {
-            LoadBalancer own = NodeParts.PRODUCT.createBalancer(settings, seed, actions);
+            LoadBalancer productBalancer = NodeParts.PRODUCT.createBalancer(settings, seed, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(),
                     new Class<?>[] {LoadBalancer.class},
                     (proxy, method, arguments) -> {
-                        before(method.getName(), arguments, actions);
+                        beforeCall(method.getName(), arguments, actions);
                         try {
-                            return method.invoke(own, arguments);
+                            return method.invoke(productBalancer, arguments);
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
                     });
         }
 
-        abstract void before(String method, Object[] arguments, LoadBalancerActions actions);
+        abstract void beforeCall(String method, Object[] arguments, LoadBalancerActions actions);
     }
 
-    /** Parts with a faulty network only; a functional interface, so that tests can use a lambda. */
+    /** Parts with a faulty network. It is a functional interface so that tests can give the network as a lambda. */
     private interface FaultyNetwork extends NodeParts {
         SimulatedNetwork wrap(SimulatedNetwork network);
 
@@ -91,14 +95,14 @@
 
     @Test
     void findsLostResponseAfterReset() throws InterruptedException {
-        FaultyNetwork forgets = network -> new ForwardingNetwork(network) {
-            private final Set<Long> reset = new HashSet<>();
+        FaultyNetwork dropsResponses = network -> new ForwardingNetwork(network) {
+            private final Set<Long> resetRequests = new HashSet<>();
 
             @Override
             public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
                 return super.send(server, request, isFirstOnConnection, (result, status, body) -> {
                     if (result == AttemptResult.RESET) {
-                        reset.add(request);
+                        resetRequests.add(request);
                     }
                     callback.onComplete(result, status, body);
                 });
@@ -106,70 +110,75 @@
 
             @Override
             public void respond(long request, int status, String body) {
-                if (!reset.contains(request)) {
+                if (!resetRequests.contains(request)) {
                     super.respond(request, status, body);
                 }
             }
         };
-        assertFinds(Invariant.ANSWERED, forgets);
+        assertFinds(Invariant.ANSWERED, dropsResponses);
     }
 
     @Test
     void findsInventedResponseAfterError() throws InterruptedException {
-        FaultyNetwork invents = network -> new ForwardingNetwork(network) {
+        FaultyNetwork inventsResponses = network -> new ForwardingNetwork(network) {
             @Override
             public void respond(long request, int status, String body) {
                 super.respond(request, status == 502 ? 200 : status, body);
             }
         };
-        assertFinds(Invariant.INVENTED_ANSWER, invents);
+        assertFinds(Invariant.INVENTED_ANSWER, inventsResponses);
     }
 
     @Test
     void findsInventedRequestAfterFailedConnect() throws InterruptedException {
-        FaultyNetwork warms = network -> new ForwardingNetwork(network) {
+        FaultyNetwork inventsRequests = network -> new ForwardingNetwork(network) {
             @Override
             public void connect(String server, Callback callback) {
                 super.connect(server, (result, status, body) -> {
                     callback.onComplete(result, status, body);
                     if (result == AttemptResult.CONNECT_FAILED) {
-                        super.connect(server, (again, none, nothing) -> {
-                            if (again == AttemptResult.OK) {
-                                super.send(server, -1, true, (r, s, b) -> {});
+                        super.connect(server, (retryResult, retryStatus, retryBody) -> {
+                            if (retryResult == AttemptResult.OK) {
+                                super.send(server, -1, true, (sendResult, sendStatus, sendBody) -> {});
                             }
                         });
                     }
                 });
             }
         };
-        assertFinds(Invariant.INVENTED_REQUEST, warms);
+        assertFinds(Invariant.INVENTED_REQUEST, inventsRequests);
     }
 
     @Test
     void findsConnectionLeakAfterCancelledAttempt() throws InterruptedException {
-        FaultyNetwork leaks = network -> new ForwardingNetwork(network) {
+        FaultyNetwork leaksConnections = network -> new ForwardingNetwork(network) {
             @Override
             public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
                 super.send(server, request, isFirstOnConnection, callback);
                 return () -> {};
             }
         };
-        // Safe requests are retried beside the attempt that is still in flight, which is detected first.
-        ScheduleExplorer.Finding found = explore(leaks, MAX_RUNS).orElseThrow();
+        // A safe request is retried while the attempt that was not closed is in flight; this is detected before the
+        // leak.
+        ScheduleExplorer.Finding found = explore(leaksConnections, MAX_RUNS).orElseThrow();
         assertTrue(
                 Set.of(Invariant.LEAKED, Invariant.REPEATED)
                         .contains(found.violation().invariant()),
                 found.toString());
-        List<Invariant> all = new ArrayList<>();
-        SimulationRun.run(found.smallest(), found.seed(), leaks).violations().forEach(b -> all.add(b.invariant()));
-        assertTrue(all.contains(Invariant.LEAKED) || all.contains(Invariant.REPEATED), all.toString());
+        List<Invariant> violatedInvariants = new ArrayList<>();
+        SimulationRun.run(found.smallest(), found.seed(), leaksConnections)
+                .violations()
+                .forEach(violation -> violatedInvariants.add(violation.invariant()));
+        assertTrue(
+                violatedInvariants.contains(Invariant.LEAKED) || violatedInvariants.contains(Invariant.REPEATED),
+                violatedInvariants.toString());
     }
 
     @Test
     void findsRetryOfUnsafeRequestAfterTimeout() throws InterruptedException {
         assertFinds(Invariant.REPEATED, new InterceptedBalancer() {
             @Override
-            void before(String method, Object[] arguments, LoadBalancerActions actions) {
+            void beforeCall(String method, Object[] arguments, LoadBalancerActions actions) {
                 if (method.equals("onOutcome")) {
                     AttemptOutcome outcome = (AttemptOutcome) arguments[1];
                     if (outcome.result() == AttemptResult.TIMEOUT && outcome.attempt() == 0) {
@@ -185,13 +194,18 @@
     void findsRequestToDrainingServer() throws InterruptedException {
         assertFinds(Invariant.DRAINING, new InterceptedBalancer() {
             @Override
-            void before(String method, Object[] arguments, LoadBalancerActions actions) {
+            void beforeCall(String method, Object[] arguments, LoadBalancerActions actions) {
                 if (method.equals("onEndpointUpdate")) {
                     @SuppressWarnings("unchecked")
                     List<ServerEntry> entries = (List<ServerEntry>) arguments[2];
                     arguments[2] = entries.stream()
-                            .map(e -> new ServerEntry(
-                                    e.id(), e.zone(), e.cell(), ServerState.READY, e.weight(), e.startedAtUs()))
+                            .map(entry -> new ServerEntry(
+                                    entry.id(),
+                                    entry.zone(),
+                                    entry.cell(),
+                                    ServerState.READY,
+                                    entry.weight(),
+                                    entry.startedAtUs()))
                             .toList();
                 }
             }
@@ -202,10 +216,11 @@
     void findsExceptionOnServerThatIsWarmingUp() throws InterruptedException {
         assertFinds(Invariant.DIED, new InterceptedBalancer() {
             @Override
-            void before(String method, Object[] arguments, LoadBalancerActions actions) {
+            void beforeCall(String method, Object[] arguments, LoadBalancerActions actions) {
                 if (method.equals("onEndpointUpdate")
-                        && ((List<?>) arguments[2]).stream().anyMatch(e -> ((ServerEntry) e).startedAtUs() > 0)) {
-                    throw new IllegalStateException("planted");
+                        && ((List<?>) arguments[2])
+                                .stream().anyMatch(entry -> ((ServerEntry) entry).startedAtUs() > 0)) {
+                    throw new IllegalStateException("injected");
                 }
             }
         });
--- a/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
@@ -16,7 +16,10 @@
 import tansypass.testbed.simulation.NodeParts;
 import tansypass.testbed.simulation.SimulationRun;
 
-/** Exploring schedules finds faulty membership settings, and no violation with the product's own. */
+/**
+ * Exploring schedules finds the violations that faulty membership settings cause, and finds no violation with the
+ * product's settings.
+ */
 @Timeout(120)
 class MembershipFaultsTest {
     private static final long BUDGET_MS = 40_000;
@@ -36,12 +39,13 @@
                 .found();
     }
 
-    private static void assertFinds(Invariant invariant, NodeParts faulty) throws InterruptedException {
-        ScheduleExplorer.Finding found = explore(faulty).orElseThrow(() -> new AssertionError("not found"));
+    private static void assertFinds(Invariant invariant, NodeParts faultyParts) throws InterruptedException {
+        ScheduleExplorer.Finding found = explore(faultyParts)
+                .orElseThrow(() -> new AssertionError("no violation found in " + MAX_RUNS + " schedules"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallest().faults().size() <= 1, found.toString());
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
-        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faulty);
+        InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faultyParts);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
         assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
     }
@@ -55,45 +59,45 @@
     void findsFailureDetectionWithoutSuspicion() throws InterruptedException {
         assertFinds(Invariant.MEMBER_FAILED, new NodeParts() {
             @Override
-            public MembershipSettings membershipSettings(MembershipSettings own) {
+            public MembershipSettings membershipSettings(MembershipSettings settings) {
                 return new MembershipSettings(
-                        own.periodUs(),
-                        own.probesPerPeriod(),
+                        settings.periodUs(),
+                        settings.probesPerPeriod(),
                         100,
-                        own.indirectProbes(),
-                        own.gossipIntervalUs(),
-                        own.gossipFanout(),
+                        settings.indirectProbes(),
+                        settings.gossipIntervalUs(),
+                        settings.gossipFanout(),
                         1e-4,
                         1,
-                        own.retransmitMultiplier(),
-                        own.pushPullIntervalUs(),
-                        own.reconnectIntervalUs(),
-                        own.reapDelayUs(),
-                        own.maxMembers());
+                        settings.retransmitMultiplier(),
+                        settings.pushPullIntervalUs(),
+                        settings.reconnectIntervalUs(),
+                        settings.reapDelayUs(),
+                        settings.maxMembers());
             }
         });
     }
 
     @Test
     void findsMissingReconnectionAfterPartition() throws InterruptedException {
-        long never = 100_000_000_000L;
+        long neverUs = 100_000_000_000L;
         assertFinds(Invariant.MEMBERS_AGREE, new NodeParts() {
             @Override
-            public MembershipSettings membershipSettings(MembershipSettings own) {
+            public MembershipSettings membershipSettings(MembershipSettings settings) {
                 return new MembershipSettings(
-                        own.periodUs(),
-                        own.probesPerPeriod(),
-                        own.probeTimeoutUs(),
-                        own.indirectProbes(),
-                        own.gossipIntervalUs(),
-                        own.gossipFanout(),
-                        own.suspicionMultiplier(),
-                        own.maxSuspicionMultiplier(),
-                        own.retransmitMultiplier(),
-                        never,
-                        never,
-                        own.reapDelayUs(),
-                        own.maxMembers());
+                        settings.periodUs(),
+                        settings.probesPerPeriod(),
+                        settings.probeTimeoutUs(),
+                        settings.indirectProbes(),
+                        settings.gossipIntervalUs(),
+                        settings.gossipFanout(),
+                        settings.suspicionMultiplier(),
+                        settings.maxSuspicionMultiplier(),
+                        settings.retransmitMultiplier(),
+                        neverUs,
+                        neverUs,
+                        settings.reapDelayUs(),
+                        settings.maxMembers());
             }
         });
     }
--- a/testbed/src/test/java/tansypass/testbed/model/LinkMatrixTest.java
+++ b/testbed/src/test/java/tansypass/testbed/model/LinkMatrixTest.java
@@ -11,12 +11,12 @@
 import tansypass.testbed.scenario.Scenario.FaultDirection;
 import tansypass.testbed.scenario.Scenario.Kind;
 
-/** Links between nodes, and what faults on them do to datagrams. */
+/** Tests the effects of faults and filters on datagrams between nodes. */
 class LinkMatrixTest {
     private final LinkMatrix linkMatrix = new LinkMatrix(1, (from, to) -> 10);
 
-    private static Fault fault(Kind kind, FaultDirection way, double amount, long timeUs) {
-        return new Fault(kind, 0, 0, List.of("node-0", "node-1"), way, amount, timeUs);
+    private static Fault fault(Kind kind, FaultDirection direction, double amount, long timeUs) {
+        return new Fault(kind, 0, 0, List.of("node-0", "node-1"), direction, amount, timeUs);
     }
 
     @Test
@@ -36,17 +36,19 @@
     @Test
     void losesDuplicatesOrReordersConfiguredShare() {
         for (Kind kind : List.of(Kind.LOSS, Kind.DUPLICATE, Kind.REORDER)) {
-            LinkMatrix own = new LinkMatrix(2, (from, to) -> 0);
-            own.apply(0, 1, fault(kind, FaultDirection.BOTH, 0.3, 50), true);
-            List<List<Long>> due = IntStream.range(0, 10_000)
-                    .mapToObj(i -> own.datagramDueUs(0, 1, 0, 1))
+            LinkMatrix faultyLinks = new LinkMatrix(2, (from, to) -> 0);
+            faultyLinks.apply(0, 1, fault(kind, FaultDirection.BOTH, 0.3, 50), true);
+            List<List<Long>> arrivalTimes = IntStream.range(0, 10_000)
+                    .mapToObj(i -> faultyLinks.datagramDueUs(0, 1, 0, 1))
                     .toList();
-            List<Long> hit = kind == Kind.LOSS ? List.of() : kind == Kind.REORDER ? List.of(50L) : List.of(0L, 0L);
-            assertEquals(0.3, due.stream().filter(hit::equals).count() / 1e4, 0.02, kind.toString());
+            List<Long> selectedTimes =
+                    kind == Kind.LOSS ? List.of() : kind == Kind.REORDER ? List.of(50L) : List.of(0L, 0L);
+            assertEquals(
+                    0.3, arrivalTimes.stream().filter(selectedTimes::equals).count() / 1e4, 0.02, kind.toString());
             assertEquals(
                     10_000,
-                    due.stream()
-                            .filter(d -> d.equals(hit) || d.equals(List.of(0L)))
+                    arrivalTimes.stream()
+                            .filter(times -> times.equals(selectedTimes) || times.equals(List.of(0L)))
                             .count());
         }
     }
--- a/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
+++ b/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
@@ -15,8 +15,8 @@
 class LinkStateTest {
     private final LinkState link = new LinkState(100, RandomStreams.of(1, "link"));
 
-    private static Fault fault(Kind kind, FaultDirection way, double amount, long timeUs) {
-        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), way, amount, timeUs);
+    private static Fault fault(Kind kind, FaultDirection direction, double amount, long timeUs) {
+        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), direction, amount, timeUs);
     }
 
     @Test
@@ -35,11 +35,11 @@
 
     @Test
     void addsDelaysAndKeepsStreamOrder() {
-        Fault slow = fault(Kind.DELAY, FaultDirection.THERE, 0, 1_000);
-        link.apply(slow, true);
+        Fault delay = fault(Kind.DELAY, FaultDirection.THERE, 0, 1_000);
+        link.apply(delay, true);
         assertEquals(1_100, link.streamDueUs(Direction.THERE, 0, 10));
         assertEquals(100, link.streamDueUs(Direction.BACK, 0, 10));
-        link.apply(slow, false);
+        link.apply(delay, false);
         assertEquals(1_100, link.streamDueUs(Direction.THERE, 50, 10));
         assertEquals(1_300, link.streamDueUs(Direction.THERE, 1_200, 10));
     }
--- a/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
@@ -13,15 +13,15 @@
 import tansypass.testbed.report.ClusterPlot;
 import tansypass.testbed.simulation.ClusterMetrics.Row;
 
-/** Figures of the product's membership protocol and of the baseline. */
+/** Compares figures of the product's membership protocol with those of the baseline. */
 @Timeout(120)
 class ClusterMetricsTest {
     @TempDir
     private Path folder;
 
-    private static Row row(ClusterMetrics metrics, String kind, String figure) {
+    private static Row row(ClusterMetrics metrics, String protocol, String figure) {
         return metrics.rows().stream()
-                .filter(r -> r.kind().equals(kind) && r.figure().equals(figure))
+                .filter(row -> row.kind().equals(protocol) && row.figure().equals(figure))
                 .findFirst()
                 .orElseThrow();
     }
@@ -29,8 +29,8 @@
     @Test
     void onlyBaselineHasFalsePositivesUnderLoss() throws Exception {
         ClusterMetrics metrics = new ClusterMetrics();
-        for (String kind : ClusterMetrics.protocolNames()) {
-            metrics.measure(kind, 8, 0.2, 3, 2);
+        for (String protocol : ClusterMetrics.protocolNames()) {
+            metrics.measure(protocol, 8, 0.2, 3, 2);
         }
         assertEquals(2 * MembershipFigure.values().length, metrics.rows().size());
         for (Row row : metrics.rows()) {
@@ -49,16 +49,17 @@
     void onlyBaselineTrafficGrowsWithClusterSize() throws Exception {
         ClusterMetrics metrics = new ClusterMetrics();
         for (int count : new int[] {10, 30}) {
-            for (String kind : ClusterMetrics.protocolNames()) {
-                metrics.measure(kind, count, 0, 1, 1);
+            for (String protocol : ClusterMetrics.protocolNames()) {
+                metrics.measure(protocol, count, 0, 1, 1);
             }
         }
-        for (String kind : ClusterMetrics.protocolNames()) {
-            List<Double> sent = metrics.rows().stream()
-                    .filter(r -> r.kind().equals(kind) && r.figure().startsWith("datagrams a second"))
+        for (String protocol : ClusterMetrics.protocolNames()) {
+            List<Double> datagramRates = metrics.rows().stream()
+                    .filter(row -> row.kind().equals(protocol) && row.figure().startsWith("datagrams a second"))
                     .map(Row::median)
                     .toList();
-            assertEquals(kind.equals("swim") ? 1 : 29.0 / 9, sent.get(1) / sent.get(0), 0.1, kind);
+            assertEquals(
+                    protocol.equals("swim") ? 1 : 29.0 / 9, datagramRates.get(1) / datagramRates.get(0), 0.1, protocol);
         }
     }
 
--- a/testbed/src/test/java/tansypass/testbed/simulation/ClusterSizeEstimatorTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ClusterSizeEstimatorTest.java
@@ -14,7 +14,7 @@
 import tansypass.cluster.membership.MembershipView;
 import tansypass.cluster.membership.Role;
 
-/** How a node is notified of the cluster size. */
+/** Tests which changes of the membership view a node is notified of as changes of the cluster size. */
 class ClusterSizeEstimatorTest {
     private final List<String> notifications = new ArrayList<>();
     private final ClusterSizeEstimator estimator =
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.simulation;
 
-/** A network that forwards every call, for tests that override some. */
+/** A network that forwards every call. Tests override some of the methods. */
 public class ForwardingNetwork implements SimulatedNetwork {
     private final SimulatedNetwork delegate;
 
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
@@ -9,10 +9,10 @@
 import tansypass.cluster.membership.MemberState;
 import tansypass.cluster.membership.Role;
 
-/** Failures, pauses and lossy or faulty links: who is declared failed, and who is not. */
+/** Tests that dead members are declared failed, and that members with pauses or faulty links are not. */
 class MembershipFailureDetectionTest extends MembershipTestCase {
     /** Returns the longest suspicion timeout in a cluster of this size, in microseconds. */
-    private static long suspicionUs(int memberCount) {
+    private static long maxSuspicionUs(int memberCount) {
         return Math.round(SETTINGS.maxSuspicionMultiplier()
                 * SETTINGS.suspicionMultiplier()
                 * Math.max(1, Math.log10(memberCount))
@@ -23,10 +23,10 @@
     void allViewsDetectFailureWithinSuspicionTimeout() {
         SimulatedCluster cluster = startCluster(1, 50);
         cluster.kill(7);
-        long tookUs = cluster.runUntilConverged(50 * SECOND_US + suspicionUs(50) + 8 * SECOND_US);
-        assertTrue(tookUs >= 0, "still there");
+        long elapsedUs = cluster.runUntilConverged(50 * SECOND_US + maxSuspicionUs(50) + 8 * SECOND_US);
+        assertTrue(elapsedUs >= 0, "node-7 is still present in a view");
         assertEquals(MemberState.FAILED, state(cluster, 0, "node-7"));
-        assertEquals(16, cluster.view(0).presentByZone(Role.NODE).get("b"), "one member less in its zone");
+        assertEquals(16, cluster.view(0).presentByZone(Role.NODE).get("b"), "present members in the zone of node-7");
         assertNoAnomalies();
     }
 
@@ -64,16 +64,16 @@
         cluster.run(30 * SECOND_US);
         assertTrue(failures(cluster, 50) > 0, "a pause of 30 s was not detected");
         IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, false));
-        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "not back");
+        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "resumed members are not present in all views");
         assertEquals(
                 50, cluster.view(0).members().stream().filter(Member::isPresent).count());
         assertNoAnomalies();
     }
 
     @Test
-    void slowMemberIsNotHeldToHaveFailed() {
+    void slowMemberIsNotDeclaredFailed() {
         SimulatedCluster cluster = startCluster(11, 20);
-        // It runs for 100 ms every two seconds.
+        // The member runs for only 100 ms of every two seconds.
         for (int i = 0; i < 100; i++) {
             cluster.setPaused(5, true);
             cluster.run(1_900_000);
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipInputTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipInputTest.java
@@ -14,16 +14,16 @@
 import tansypass.cluster.membership.MessageCodec;
 import tansypass.cluster.runtime.RandomStreams;
 
-/** Datagrams of other deployments, malformed ones, and updates that no process sent. */
+/** Tests datagrams that are malformed or from another deployment, and forged updates that no member sent. */
 class MembershipInputTest extends MembershipTestCase {
     @Test
     void rejectsAndCountsMembersOfAnotherDeployment() {
         SimulatedCluster cluster = startCluster(14, 5);
-        int foreign = cluster.add("stranger");
-        cluster.start(foreign, List.of(0), 0, "other");
+        int foreignMember = cluster.add("stranger");
+        cluster.start(foreignMember, List.of(0), 0, "other");
         cluster.run(100 * SECOND_US);
         assertTrue(cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_DEPLOYMENT) > 0);
-        assertEquals(1, cluster.view(foreign).members().size());
+        assertEquals(1, cluster.view(foreignMember).members().size());
         assertEquals(5, cluster.view(0).members().size());
         assertNoAnomalies();
     }
@@ -32,21 +32,23 @@
     void dropsAndCountsMalformedDatagrams() {
         SimulatedCluster cluster = startCluster(15, 10);
         UniformRandomProvider random = RandomStreams.of(15, "garbage");
-        byte[] good = new MessageCodec()
+        byte[] validPing = new MessageCodec()
                 .encode(new Message.Ping(new Message.Envelope("d", 1, "node-1", 1, List.of()), 7, "node-0"));
         long before = cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_MALFORMED);
-        int bad = 0;
+        int malformedCount = 0;
         for (int i = 0; i < 2_000; i++) {
-            byte[] some = new byte[random.nextInt(1_600)];
-            random.nextBytes(some);
-            cluster.injectDatagram(0, some);
-            bad++;
-            byte[] cut = Arrays.copyOf(good, random.nextInt(good.length - 1));
-            cluster.injectDatagram(0, cut);
-            bad++;
-            cluster.injectDatagram(0, good);
+            byte[] randomBytes = new byte[random.nextInt(1_600)];
+            random.nextBytes(randomBytes);
+            cluster.injectDatagram(0, randomBytes);
+            malformedCount++;
+            byte[] truncatedPing = Arrays.copyOf(validPing, random.nextInt(validPing.length - 1));
+            cluster.injectDatagram(0, truncatedPing);
+            malformedCount++;
+            cluster.injectDatagram(0, validPing);
         }
-        assertEquals(bad, cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_MALFORMED) - before);
+        assertEquals(
+                malformedCount,
+                cluster.swimProtocol(0).counters().get(MembershipCounters.Name.DROPPED_MALFORMED) - before);
         cluster.run(60 * SECOND_US);
         assertTrue(cluster.hasConverged());
         assertTrue(cluster.swimProtocol(0).pendingUpdates() <= 10);
@@ -70,13 +72,13 @@
         cluster.kill(3);
         assertTrue(cluster.runUntilConverged(200 * SECOND_US) >= 0);
         assertNoAnomalies();
-        byte[] old = new MessageCodec()
+        byte[] outdatedUpdate = new MessageCodec()
                 .encode(new Message.Gossip(new Message.Envelope("d", 1, "node-1", 1, List.of(victim))));
-        cluster.injectDatagram(0, old);
+        cluster.injectDatagram(0, outdatedUpdate);
         cluster.run(SECOND_US);
         assertEquals(MemberState.FAILED, state(cluster, 0, "node-3"));
         assertNoAnomalies();
-        // The same with an incarnation that only the dead process could have sent.
+        // The same update with a higher incarnation, which only the process itself could have sent.
         Member refuted = new Member(victim.identity(), MemberState.ALIVE, 99, "");
         cluster.injectDatagram(
                 0,
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipJoinTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipJoinTest.java
@@ -11,14 +11,14 @@
 import tansypass.cluster.membership.MembershipCounters;
 import tansypass.cluster.membership.MembershipView;
 
-/** Joining, leaving and restarting, and processes that have the same name. */
+/** Tests members that join, leave or restart, and processes that have the same name. */
 class MembershipJoinTest extends MembershipTestCase {
     @Test
     void allViewsRemoveLeavingMemberPermanently() {
         SimulatedCluster cluster = startCluster(2, 50);
         cluster.leave(9);
-        long tookUs = cluster.runUntilConverged(10 * SECOND_US);
-        assertTrue(tookUs >= 0, "still there after 10 s");
+        long elapsedUs = cluster.runUntilConverged(10 * SECOND_US);
+        assertTrue(elapsedUs >= 0, "node-9 is still present after 10 s");
         cluster.run(120 * SECOND_US);
         assertEquals(MemberState.LEFT, state(cluster, 30, "node-9"));
         assertEquals(0, failures(cluster, 50));
@@ -47,7 +47,8 @@
         }
         assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0);
         assertTrue(
-                cluster.swimProtocol(4).counters().get(MembershipCounters.Name.NAME_CONFLICTS) > 0, "no name conflict");
+                cluster.swimProtocol(4).counters().get(MembershipCounters.Name.NAME_CONFLICTS) > 0,
+                "node-4 counted no name conflict");
         assertNoAnomalies();
     }
 
@@ -64,12 +65,13 @@
             assertTrue(
                     cluster.view(i).members().stream()
                             .map(Member::identity)
-                            .anyMatch(who -> who.name().equals("node-4") && who.nonce() == nonce),
-                    "view of " + i);
+                            .anyMatch(identity -> identity.name().equals("node-4") && identity.nonce() == nonce),
+                    "later process is missing in the view of member " + i);
         }
-        // The namesake is killed; the superseded process takes the name back.
+        // After the namesake is killed, the superseded process takes the name back.
         cluster.kill(namesake);
-        assertTrue(cluster.runUntilConverged(200 * SECOND_US) >= 0, "not back");
+        assertTrue(
+                cluster.runUntilConverged(200 * SECOND_US) >= 0, "views are not equal after the namesake was killed");
         assertFalse(cluster.swimProtocol(4).isSuperseded());
         assertNoAnomalies();
     }
@@ -78,8 +80,8 @@
     void twoHundredMembersJoinThroughOneSeed() {
         SimulatedCluster cluster = newCluster(12, 200);
         cluster.startAll();
-        long tookUs = cluster.runUntilConverged(120 * SECOND_US);
-        assertTrue(tookUs >= 0, "not converged");
+        long elapsedUs = cluster.runUntilConverged(120 * SECOND_US);
+        assertTrue(elapsedUs >= 0, "views are not equal after 120 s");
         assertEquals(0, failures(cluster, 200));
         assertNoAnomalies();
     }
@@ -90,9 +92,9 @@
         cluster.setLinkFilter((from, to) -> from != 4 && to != 4);
         cluster.startAll();
         cluster.run(100 * SECOND_US);
-        MembershipView alone = cluster.view(4);
-        assertFalse(alone.joined());
-        assertEquals(1, alone.members().size());
+        MembershipView isolatedView = cluster.view(4);
+        assertFalse(isolatedView.joined());
+        assertEquals(1, isolatedView.members().size());
         cluster.setLinkFilter((from, to) -> true);
         assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0);
         assertTrue(cluster.view(4).joined());
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipPartitionTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipPartitionTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import tansypass.cluster.membership.Member;
 
-/** Partitions of a cluster, and how its views become equal again. */
+/** Tests that the views of a cluster become equal again after a partition. */
 class MembershipPartitionTest extends MembershipTestCase {
     @Test
     void partitionInHalvesHeals() {
@@ -18,7 +18,7 @@
         assertEquals(
                 15, cluster.view(1).members().stream().filter(Member::isPresent).count());
         cluster.setLinkFilter((from, to) -> true);
-        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "not healed");
+        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "views are not equal 60 s after the partition");
         assertNoAnomalies();
     }
 
@@ -34,7 +34,7 @@
         assertEquals(
                 10, cluster.view(0).members().stream().filter(Member::isPresent).count());
         cluster.setLinkFilter((from, to) -> true);
-        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "not healed");
+        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "views are not equal 60 s after the partition");
         assertNoAnomalies();
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipTestCase.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipTestCase.java
@@ -17,7 +17,8 @@
 import tansypass.cluster.membership.Role;
 
 /**
- * Clusters of the membership protocol in virtual time, whose views are recorded; docs/membership.md has the guarantees.
+ * Base of tests that run clusters of the membership protocol in virtual time and record anomalies in their views. The
+ * guarantees of the protocol are in docs/membership.md.
  */
 abstract class MembershipTestCase {
     static final long SECOND_US = 1_000_000;
@@ -25,7 +26,7 @@
 
     private final List<String> anomalies = new ArrayList<>();
 
-    /** Creates a cluster whose views are recorded; no member is started yet. */
+    /** Creates a cluster whose view anomalies are recorded; no member is started yet. */
     SimulatedCluster newCluster(long seed, int count) {
         SimulatedCluster cluster = new SimulatedCluster(seed, SETTINGS, count, List.of("a", "b", "c"));
         cluster.setViewListener(new ViewAnomalyRecorder(cluster, anomalies));
@@ -36,11 +37,11 @@
     SimulatedCluster startCluster(long seed, int count) {
         SimulatedCluster cluster = newCluster(seed, count);
         cluster.startAll();
-        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "not converged after the start");
+        assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "views are not equal 60 s after the start");
         return cluster;
     }
 
-    /** What the recorder has found so far in the views of all clusters of this test. */
+    /** Returns the anomalies found so far in the views of all clusters of this test. */
     List<String> anomalies() {
         return List.copyOf(anomalies);
     }
@@ -49,14 +50,16 @@
         assertEquals(List.of(), anomalies);
     }
 
-    static MemberState state(SimulatedCluster cluster, int who, String of) {
-        return cluster.view(who).members().stream()
-                .filter(m -> m.identity().name().equals(of))
+    /** Returns the state of a member in the view of another one, or null if the view lacks it. */
+    static MemberState state(SimulatedCluster cluster, int viewer, String name) {
+        return cluster.view(viewer).members().stream()
+                .filter(member -> member.identity().name().equals(name))
                 .map(Member::state)
                 .findFirst()
                 .orElse(null);
     }
 
+    /** Returns the number of times that the running members have declared others failed. */
     static long failures(SimulatedCluster cluster, int count) {
         return IntStream.range(0, count)
                 .filter(cluster::isUp)
@@ -64,12 +67,12 @@
                 .sum();
     }
 
-    /** A datagram with an update about a member that no process sent. */
-    static byte[] forged(String from, String of, long generation, MemberState state, long incarnation) {
+    /** Returns a datagram, supposedly from {@code sender}, with an update about a member that no process sent. */
+    static byte[] forged(String sender, String name, long generation, MemberState state, long incarnation) {
         Identity identity =
-                new Identity(of, generation, 1, "a", Role.NODE, new InetSocketAddress("127.0.0.9", 9), "d", 1, 1);
+                new Identity(name, generation, 1, "a", Role.NODE, new InetSocketAddress("127.0.0.9", 9), "d", 1, 1);
         return new MessageCodec()
-                .encode(new Message.Gossip(
-                        new Message.Envelope("d", 1, from, 1, List.of(new Member(identity, state, incarnation, "")))));
+                .encode(new Message.Gossip(new Message.Envelope(
+                        "d", 1, sender, 1, List.of(new Member(identity, state, incarnation, "")))));
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipViewRecorderTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipViewRecorderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import tansypass.cluster.membership.MemberState;
 
-/** The recorder that the other tests of membership rely on, and the trace of a cluster. */
+/** Tests the anomaly recorder that the other membership tests rely on, and the trace of a cluster. */
 class MembershipViewRecorderTest extends MembershipTestCase {
     @Test
     void listenerDetectsInventedMember() {
--- a/testbed/src/test/java/tansypass/testbed/simulation/SimulationRunTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SimulationRunTest.java
@@ -12,11 +12,11 @@
 
 class SimulationRunTest {
 
-    private static InvariantChecker play(String text, long seed) {
+    private static InvariantChecker run(String text, long seed) {
         return SimulationRun.run(TestScenarios.of(text), seed);
     }
 
-    private static double served(InvariantChecker checker) {
+    private static double servedShare(InvariantChecker checker) {
         return (double) checker.statistics().count(End.SERVED)
                 / checker.statistics().offered();
     }
@@ -26,15 +26,15 @@
         String scenario = TestScenarios.SMALL
                 + TestScenarios.fault("kill", "\"node-1\"", "1s", "1s", "")
                 + TestScenarios.fault("jitter", "\"node-*\", \"server-*\"", "0s", "4s", "time = \"5ms\"");
-        assertEquals(play(scenario, 7).traceHash(), play(scenario, 7).traceHash());
-        assertNotEquals(play(scenario, 7).traceHash(), play(scenario, 8).traceHash());
+        assertEquals(run(scenario, 7).traceHash(), run(scenario, 7).traceHash());
+        assertNotEquals(run(scenario, 7).traceHash(), run(scenario, 8).traceHash());
     }
 
     @Test
     void servesNearlyAllRequestsWithoutFaults() {
-        InvariantChecker checker = play(TestScenarios.SMALL, 1);
+        InvariantChecker checker = run(TestScenarios.SMALL, 1);
         assertEquals(List.of(), checker.violations());
-        assertTrue(served(checker) > 0.99, () -> "served " + served(checker));
+        assertTrue(servedShare(checker) > 0.99, () -> "served " + servedShare(checker));
         assertTrue(
                 checker.statistics().offered() > 300,
                 () -> "offered " + checker.statistics().offered());
@@ -60,24 +60,24 @@
                 TestScenarios.fault("pause", "\"node-1\"", "1s", "800ms", ""),
                 TestScenarios.fault("term", "\"node-1\"", "1s", "2s", ""))) {
             scenario += fault;
-            assertEquals(List.of(), play(TestScenarios.SMALL + fault, 3).violations(), fault);
+            assertEquals(List.of(), run(TestScenarios.SMALL + fault, 3).violations(), fault);
         }
-        assertEquals(List.of(), play(scenario, 3).violations());
+        assertEquals(List.of(), run(scenario, 3).violations());
     }
 
     @Test
     void faultsReduceServedRequests() {
-        double baseline = served(play(TestScenarios.SMALL, 5));
+        double baseline = servedShare(run(TestScenarios.SMALL, 5));
         double hung =
-                served(play(TestScenarios.SMALL + TestScenarios.fault("hang", "\"server-*\"", "1s", "2s", ""), 5));
-        double cut = served(
-                play(TestScenarios.SMALL + TestScenarios.fault("cut", "\"node-*\", \"server-*\"", "1s", "2s", ""), 5));
+                servedShare(run(TestScenarios.SMALL + TestScenarios.fault("hang", "\"server-*\"", "1s", "2s", ""), 5));
+        double cut = servedShare(
+                run(TestScenarios.SMALL + TestScenarios.fault("cut", "\"node-*\", \"server-*\"", "1s", "2s", ""), 5));
         assertTrue(hung < baseline - 0.3 && cut < baseline - 0.3, () -> baseline + ", " + hung + ", " + cut);
     }
 
     @Test
     void countsRequestsNotSentUnderOverload() {
-        InvariantChecker checker = play(TestScenarios.SMALL.replace("rate = 100.0", "rate = 5000.0\nmost = 50"), 1);
+        InvariantChecker checker = run(TestScenarios.SMALL.replace("rate = 100.0", "rate = 5000.0\nmost = 50"), 1);
         assertTrue(
                 checker.statistics().count(End.NOT_SENT) > 1_000,
                 () -> checker.statistics().endsBySecond().toString());
--- a/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/SwimTraceTest.java
@@ -28,17 +28,17 @@
 import tansypass.cluster.runtime.Scheduler;
 
 /**
- * Pins the behaviour of {@link SwimProtocol} to hashes that were recorded before it was split into parts. A hash
- * covers, in order and with its virtual time, every datagram and push-pull body byte for byte, every timer that is
- * set, fires or is cancelled, every change of every view, and at the end all counters and operators' pages.
+ * Compares the behaviour of {@link SwimProtocol} with recorded hashes, to detect any unintended change. A hash covers
+ * every datagram and push-pull body byte for byte, every timer that is set, fires or is cancelled, and every change of
+ * a view, in order and with their virtual times. At the end it covers all counters and view pages.
  */
 class SwimTraceTest {
-    private static final long S = 1_000_000;
-    /** As the defaults, but with a table and a reap time small enough for a trial to reach both. */
-    private static final MembershipSettings SETTINGS =
-            new MembershipSettings(S, 3, 300_000, 3, 200_000, 3, 1.3, 6, 4, 30 * S, 10 * S, 60 * S, 16);
+    private static final long SECOND_US = 1_000_000;
+    /** The default settings, but with a member limit and a reap delay small enough for a trial to reach them. */
+    private static final MembershipSettings SETTINGS = new MembershipSettings(
+            SECOND_US, 3, 300_000, 3, 200_000, 3, 1.3, 6, 4, 30 * SECOND_US, 10 * SECOND_US, 60 * SECOND_US, 16);
 
-    /** By seed, recorded from the protocol as one class. */
+    /** By seed, the hashes that were recorded while the protocol was a single class. */
     private static final Map<Long, String> RECORDED = Map.of(
             1L, "05a3ad2e9c0e1613",
             2L, "227757ab6fc7da50",
@@ -63,7 +63,7 @@
         }
         assertEquals(new TreeMap<>(RECORDED), hashes);
         assertEquals(
-                cluster.membership(0).counters().all().keySet(), seenCounters, "a trial that covers all it counts");
+                cluster.membership(0).counters().all().keySet(), seenCounters, "counters that the trials incremented");
     }
 
     private String hashOfTrial(long seed) throws NoSuchAlgorithmException {
@@ -75,12 +75,12 @@
         for (int i = 0; i < 12; i++) {
             SwimProtocol member = cluster.swimProtocol(i);
             Map<String, Long> counters = new TreeMap<>(member.counters().all());
-            note(i + " counted " + counters);
+            addToTrace(i + " counted " + counters);
             counters.values().removeIf(count -> count == 0);
             seenCounters.addAll(counters.keySet());
             byte[] page = codec.encodeViewPage(
                     member.self(), member.view(), member.isSuperseded(), member.healthMultiplier());
-            note(new String(page, StandardCharsets.UTF_8));
+            addToTrace(new String(page, StandardCharsets.UTF_8));
         }
         return HexFormat.of().formatHex(trace.digest(), 0, Long.BYTES);
     }
@@ -88,39 +88,39 @@
     private void runTrial() {
         cluster.setLinkFilter((from, to) -> from != 11 && to != 11);
         cluster.startAll();
-        cluster.run(20 * S);
+        cluster.run(20 * SECOND_US);
         cluster.setLinkFilter((from, to) -> from != 3 || to != 4);
         cluster.setLossRate(0.1);
-        cluster.run(30 * S);
+        cluster.run(30 * SECOND_US);
         cluster.kill(3);
-        cluster.run(15 * S);
+        cluster.run(15 * SECOND_US);
         cluster.swimProtocol(2).setServing(false);
         cluster.setLinkFilter((from, to) -> from % 2 == to % 2);
-        cluster.run(40 * S);
+        cluster.run(40 * SECOND_US);
         cluster.setLinkFilter((from, to) -> true);
         cluster.swimProtocol(2).setServing(true);
-        cluster.run(20 * S);
+        cluster.run(20 * SECOND_US);
         cluster.setLossRate(0);
         cluster.start(3, List.of(0, 1), -3_600_000, "d");
-        conflictOfNames();
+        runNameConflict();
         cluster.setPaused(5, true);
-        cluster.run(12 * S);
+        cluster.run(12 * SECOND_US);
         cluster.setPaused(5, false);
         cluster.leave(6);
-        cluster.run(10 * S);
-        strangersAndForgeries();
-        cluster.run(90 * S);
+        cluster.run(10 * SECOND_US);
+        injectForeignAndForgedMessages();
+        cluster.run(90 * SECOND_US);
     }
 
-    private void conflictOfNames() {
+    private void runNameConflict() {
         int namesake = cluster.add("node-4");
         cluster.start(namesake, List.of(0), 0, "d");
-        cluster.run(50 * S);
+        cluster.run(50 * SECOND_US);
         cluster.kill(namesake);
-        cluster.run(40 * S);
+        cluster.run(40 * SECOND_US);
     }
 
-    private void strangersAndForgeries() {
+    private void injectForeignAndForgedMessages() {
         cluster.start(cluster.add("stranger"), List.of(0), 0, "other");
         cluster.injectDatagram(0, new byte[] {1, 2, 3});
         Identity self = cluster.swimProtocol(0).self();
@@ -128,9 +128,17 @@
         cluster.injectDatagram(0, gossip(1, new Member(self, MemberState.ALIVE, 70, "")));
         cluster.injectDatagram(0, gossip(9, new Member(self, MemberState.ALIVE, 0, "")));
         for (int i = 0; i < 20; i++) {
-            int protocol = i == 0 ? 9 : 1;
+            int protocolVersion = i == 0 ? 9 : 1;
             Identity forged = new Identity(
-                    "fake-" + i, 1, 1, "a", Role.NODE, new InetSocketAddress("127.0.0.9", 9), "d", protocol, protocol);
+                    "fake-" + i,
+                    1,
+                    1,
+                    "a",
+                    Role.NODE,
+                    new InetSocketAddress("127.0.0.9", 9),
+                    "d",
+                    protocolVersion,
+                    protocolVersion);
             cluster.injectDatagram(0, gossip(1, new Member(forged, MemberState.ALIVE, 0, "")));
         }
         for (int i = 0; i < 100; i++) {
@@ -144,57 +152,58 @@
                 .encode(new Message.Gossip(new Message.Envelope("d", version, "node-1", 1, List.of(member))));
     }
 
-    /** All that an entry says, as it goes over the wire; a record's own text would change with a renamed component. */
-    private static String text(Member entry) {
+    /** Returns the wire format of an entry as hex, because toString() would change with a renamed record component. */
+    private static String wireBytes(Member entry) {
         return HexFormat.of().formatHex(gossip(1, entry));
     }
 
-    private void note(String event) {
+    private void addToTrace(String event) {
         long nowUs = cluster == null ? 0 : cluster.nowUs();
         trace.update((nowUs + " " + event + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     private SwimProtocol tracedProtocol(MembershipEnvironment environment) {
-        String who = environment.self().name() + "/" + environment.self().nonce();
+        String member = environment.self().name() + "/" + environment.self().nonce();
         return new SwimProtocol(new MembershipEnvironment(
                 environment.settings(),
                 environment.self(),
                 environment.seeds(),
-                new TracedScheduler(who, environment.scheduler()),
+                new TracedScheduler(member, environment.scheduler()),
                 environment.random(),
-                new TracedNetwork(who, environment.network()),
-                new TracedListener(who, environment.listener())));
+                new TracedNetwork(member, environment.network()),
+                new TracedListener(member, environment.listener())));
     }
 
     private final class TracedListener implements MemberListener {
-        private final String who;
+        private final String member;
         private final MemberListener listener;
 
-        TracedListener(String who, MemberListener listener) {
-            this.who = who;
+        TracedListener(String member, MemberListener listener) {
+            this.member = member;
             this.listener = listener;
         }
 
         @Override
         public void onUpdate(Optional<Member> before, Member after) {
-            note(who + " sees " + before.map(SwimTraceTest::text).orElse("nobody") + " become " + text(after));
+            addToTrace(member + " sees " + before.map(SwimTraceTest::wireBytes).orElse("nobody") + " become "
+                    + wireBytes(after));
             listener.onUpdate(before, after);
         }
 
         @Override
         public void onReap(Member reaped) {
-            note(who + " sees " + text(reaped) + " become nobody");
+            addToTrace(member + " sees " + wireBytes(reaped) + " become nobody");
             listener.onReap(reaped);
         }
     }
 
     private final class TracedScheduler implements Scheduler {
-        private final String who;
+        private final String member;
         private final Scheduler scheduler;
-        private long lastTimer;
+        private long timerCount;
 
-        TracedScheduler(String who, Scheduler scheduler) {
-            this.who = who;
+        TracedScheduler(String member, Scheduler scheduler) {
+            this.member = member;
             this.scheduler = scheduler;
         }
 
@@ -205,42 +214,42 @@
 
         @Override
         public Timer after(long delayUs, Runnable task) {
-            String timer = who + " timer " + ++lastTimer;
-            note(timer + " set " + delayUs);
-            Timer set = scheduler.after(delayUs, () -> {
-                note(timer + " fires");
+            String timer = member + " timer " + ++timerCount;
+            addToTrace(timer + " set " + delayUs);
+            Timer scheduled = scheduler.after(delayUs, () -> {
+                addToTrace(timer + " fires");
                 task.run();
             });
             return () -> {
-                note(timer + " cancelled");
-                set.cancel();
+                addToTrace(timer + " cancelled");
+                scheduled.cancel();
             };
         }
     }
 
     private final class TracedNetwork implements Network {
-        private final String who;
+        private final String member;
         private final Network network;
 
-        TracedNetwork(String who, Network network) {
-            this.who = who;
+        TracedNetwork(String member, Network network) {
+            this.member = member;
             this.network = network;
         }
 
         @Override
         public void send(InetSocketAddress to, byte[] datagram) {
-            note(who + " sends " + to + " " + HexFormat.of().formatHex(datagram));
+            addToTrace(member + " sends " + to + " " + HexFormat.of().formatHex(datagram));
             network.send(to, datagram);
         }
 
         @Override
-        public void pushPull(InetSocketAddress to, byte[] body, Consumer<Optional<byte[]>> answer) {
-            note(who + " pushes " + to + " " + new String(body, StandardCharsets.UTF_8));
-            network.pushPull(to, body, pulled -> {
-                note(who + " pulls "
-                        + pulled.map(view -> new String(view, StandardCharsets.UTF_8))
+        public void pushPull(InetSocketAddress to, byte[] body, Consumer<Optional<byte[]>> callback) {
+            addToTrace(member + " pushes " + to + " " + new String(body, StandardCharsets.UTF_8));
+            network.pushPull(to, body, response -> {
+                addToTrace(member + " pulls "
+                        + response.map(view -> new String(view, StandardCharsets.UTF_8))
                                 .orElse("null"));
-                answer.accept(pulled);
+                callback.accept(response);
             });
         }
     }
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -31,19 +31,19 @@
 import tansypass.testbed.scenario.ScenarioFile;
 
 /**
- * Runs in virtual time give the traces that were recorded before the classes were split. A trace covers each
- * event of clients, servers, discovery and violations with its time, so a change of behaviour in the testbed,
- * the balancer or the membership protocol shows here.
+ * Compares the traces of runs in virtual time with recorded hashes, to detect any unintended change of behaviour in the
+ * testbed, the balancer or the membership protocol. The hashes were recorded before the classes were split into their
+ * present form. A trace covers each event of clients, servers and discovery and each violation, with its time.
  *
- * <p>After a change of behaviour that is wanted, replace the lines of {@code trace-hashes.txt} by those that
- * the failure prints, in the commit of that change.
+ * <p>After an intended change of behaviour, replace the lines of {@code trace-hashes.txt} by those that the failure
+ * prints, in the commit of that change.
  */
 class TraceHashTest {
     private static final int SEEDS = 10;
-    /** Seconds a run, where others take a tenth of one: these are run with one seed. */
-    private static final Set<String> LARGE = Set.of("members-20", "members-50");
+    /** Scenarios that take seconds to run, while others take a tenth of a second; these run with one seed only. */
+    private static final Set<String> LARGE_SCENARIOS = Set.of("members-20", "members-50");
 
-    private static final String RECORDED = "trace-hashes.txt";
+    private static final String HASHES_FILE = "trace-hashes.txt";
 
     private static final String ALL_FAULTS = TestScenarios.SMALL
             + TestScenarios.fault("kill", "\"server-0\"", "1s", "1s", "")
@@ -63,7 +63,7 @@
             + TestScenarios.fault("kill", "\"node-0\"", "2500ms", "500ms", "")
             + TestScenarios.fault("term", "\"node-1\"", "1s", "2s", "");
 
-    private static final String MEMBERS = TestScenarios.SMALL.replace("[clients]", """
+    private static final String CLUSTER_OF_TWO = TestScenarios.SMALL.replace("[clients]", """
             [fleet]
             period = "200ms"
             [clients]""")
@@ -74,10 +74,10 @@
     private static final String OVERLOAD = TestScenarios.SMALL.replace("rate = 100.0", "rate = 2000.0\nmost = 50");
 
     /**
-     * Sends every attempt twice, replaces each tenth answer and fails at each fiftieth: violations are traced
-     * too.
+     * Parts that send every attempt twice, replace each tenth response and report a failure of the balancer at each
+     * fiftieth, so that traces with violations are covered too.
      */
-    private static final NodeParts FAULTY = new NodeParts() {
+    private static final NodeParts FAULTY_PARTS = new NodeParts() {
         @Override
         public SimulatedNetwork wrapNetwork(SimulatedNetwork network) {
             return new FaultyNetwork(network);
@@ -85,7 +85,7 @@
     };
 
     private static final class FaultyNetwork extends ForwardingNetwork {
-        private int answers;
+        private int responseCount;
 
         FaultyNetwork(SimulatedNetwork delegate) {
             super(delegate);
@@ -99,15 +99,16 @@
 
         @Override
         public void respond(long request, int status, String body) {
-            answers++;
-            super.respond(request, status, answers % 10 == 0 ? "invented" : body);
-            if (answers % 50 == 0) {
+            responseCount++;
+            super.respond(request, status, responseCount % 10 == 0 ? "invented" : body);
+            if (responseCount % 50 == 0) {
                 balancerFailed(new IllegalStateException("planted"));
             }
         }
     }
 
-    private static String line(String name, long seed, InvariantChecker checker) {
+    /** Returns a line of the file of hashes. */
+    private static String hashLine(String name, long seed, InvariantChecker checker) {
         return name + " " + seed + " " + checker.traceHash();
     }
 
@@ -115,7 +116,7 @@
         Map<String, Scenario> scenarios = new LinkedHashMap<>();
         scenarios.put("small", TestScenarios.of(TestScenarios.SMALL));
         scenarios.put("all-faults", TestScenarios.of(ALL_FAULTS));
-        scenarios.put("members-of-two", TestScenarios.of(MEMBERS));
+        scenarios.put("members-of-two", TestScenarios.of(CLUSTER_OF_TWO));
         scenarios.put("overload", TestScenarios.of(OVERLOAD));
         for (String file :
                 List.of("members-50", "members-20", "members", "annotated", "calm", "links", "rolling", "servers")) {
@@ -128,8 +129,8 @@
         return ScenarioFile.read("../scenarios/" + name + ".toml");
     }
 
-    private static List<String> recorded() throws IOException {
-        try (InputStream in = TraceHashTest.class.getResourceAsStream(RECORDED)) {
+    private static List<String> recordedLines() throws IOException {
+        try (InputStream in = TraceHashTest.class.getResourceAsStream(HASHES_FILE)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
@@ -138,15 +139,18 @@
     void runTracesEqualRecordedOnes() throws Exception {
         List<Supplier<String>> runs = new ArrayList<>();
         scenarios()
-                .forEach((name, scenario) -> LongStream.rangeClosed(1, LARGE.contains(name) ? 1 : SEEDS)
-                        .forEach(seed -> runs.add(() -> line(name, seed, SimulationRun.run(scenario, seed)))));
+                .forEach((name, scenario) -> LongStream.rangeClosed(1, LARGE_SCENARIOS.contains(name) ? 1 : SEEDS)
+                        .forEach(seed -> runs.add(() -> hashLine(name, seed, SimulationRun.run(scenario, seed)))));
         Scenario small = TestScenarios.of(TestScenarios.SMALL);
         LongStream.rangeClosed(1, SEEDS)
-                .forEach(seed -> runs.add(() -> line("violations", seed, SimulationRun.run(small, seed, FAULTY))));
-        // Runs share nothing, so they may run side by side; the order of the lines stays.
+                .forEach(seed ->
+                        runs.add(() -> hashLine("violations", seed, SimulationRun.run(small, seed, FAULTY_PARTS))));
+        // The runs are independent, so they can run in parallel; the order of the lines stays the same.
         String actual = runs.parallelStream().map(Supplier::get).collect(Collectors.joining("\n"));
         assertEquals(
-                recorded().stream().filter(line -> !line.startsWith("cluster ")).collect(Collectors.joining("\n")),
+                recordedLines().stream()
+                        .filter(line -> !line.startsWith("cluster "))
+                        .collect(Collectors.joining("\n")),
                 actual);
     }
 
@@ -154,41 +158,43 @@
     void clusterTracesEqualRecordedOnes() throws IOException {
         String actual = LongStream.rangeClosed(1, SEEDS)
                 .parallel()
-                .mapToObj(seed -> "cluster " + seed + " " + clusterTrace(seed))
+                .mapToObj(seed -> "cluster " + seed + " " + clusterTraceHash(seed))
                 .collect(Collectors.joining("\n"));
         assertEquals(
-                recorded().stream().filter(line -> line.startsWith("cluster ")).collect(Collectors.joining("\n")),
+                recordedLines().stream()
+                        .filter(line -> line.startsWith("cluster "))
+                        .collect(Collectors.joining("\n")),
                 actual);
     }
 
-    /** A cluster of ten in virtual time with loss, a death, a stopped process and a partition. */
-    private static String clusterTrace(long seed) {
-        long second = 1_000_000;
+    /** Returns the trace hash of a cluster of ten with datagram loss, a death, a paused member and a partition. */
+    private static String clusterTraceHash(long seed) {
+        long secondUs = 1_000_000;
         SimulatedCluster cluster = new SimulatedCluster(seed, MembershipSettings.DEFAULT, 10, List.of("a", "b"));
         cluster.startAll();
         cluster.setLossRate(0.1);
-        cluster.run(10 * second);
+        cluster.run(10 * secondUs);
         cluster.kill(3);
         cluster.setPaused(4, true);
-        cluster.run(10 * second);
+        cluster.run(10 * secondUs);
         cluster.setPaused(4, false);
         cluster.setLinkFilter((from, to) -> from % 2 == to % 2);
-        cluster.run(20 * second);
+        cluster.run(20 * secondUs);
         cluster.setLinkFilter((from, to) -> true);
-        cluster.run(20 * second);
+        cluster.run(20 * secondUs);
         return cluster.traceHash();
     }
 
     @Test
     void injectedFaultChangesTrace() throws IOException {
-        InvariantChecker faulty = SimulationRun.run(TestScenarios.of(TestScenarios.SMALL), 1, FAULTY);
+        InvariantChecker faulty = SimulationRun.run(TestScenarios.of(TestScenarios.SMALL), 1, FAULTY_PARTS);
         assertTrue(faulty.violationCount() > 10, () -> "violations: " + faulty.violationCount());
-        assertTrue(recorded().contains(line("violations", 1, faulty)));
+        assertTrue(recordedLines().contains(hashLine("violations", 1, faulty)));
         assertNotEquals(
                 SimulationRun.run(TestScenarios.of(TestScenarios.SMALL), 1).traceHash(), faulty.traceHash());
     }
 
-    /** Violations carry these names into the trace: renaming one changes traces that hold it. */
+    /** Traces contain these names in the texts of violations, so renaming one of them changes the hashes. */
     @Test
     void namesInTracesAreUnchanged() {
         assertEquals(
@@ -211,7 +217,7 @@
         assertEquals(List.of("ALIVE", "SUSPECT", "FAILED", "LEFT"), names(MemberState.values()));
     }
 
-    /** Reports take these keys from the code: from the names of constants and of record components. */
+    /** The names of these constants and record components are keys of reports. */
     @Test
     void namesInReportsAreUnchanged() {
         assertEquals(
--- a/testbed/src/test/java/tansypass/testbed/simulation/ViewAnomalyRecorder.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ViewAnomalyRecorder.java
@@ -9,18 +9,18 @@
 import tansypass.cluster.membership.MemberState;
 
 /**
- * Records what must not happen in the views of a cluster: invented members, and updates that go backwards. An entry is
- * compared with the last one of the same view.
+ * Records anomalies in the views of a cluster: members that were never started, and updates that are older than the
+ * entry that they replace. Each entry is compared with the previous entry for the same member in the same view.
  */
 final class ViewAnomalyRecorder implements ViewListener {
     private final SimulatedCluster cluster;
     private final List<String> anomalies;
-    /** By view and member. */
-    private final Map<String, Member> last = new HashMap<>();
+    /** By view and member, the last entry. */
+    private final Map<String, Member> lastEntries = new HashMap<>();
 
     private final Set<Long> startedNonces = new HashSet<>();
 
-    /** Creates a recorder that adds a line to {@code anomalies} for each. */
+    /** Creates a recorder that adds a line to {@code anomalies} for each anomaly. */
     ViewAnomalyRecorder(SimulatedCluster cluster, List<String> anomalies) {
         this.cluster = cluster;
         this.anomalies = anomalies;
@@ -28,47 +28,47 @@
 
     @Override
     public void onUpdate(int viewer, Member entry) {
-        Member known = last.put(keyOf(viewer, entry), entry);
+        Member previous = lastEntries.put(keyOf(viewer, entry), entry);
         if (entry.identity().nonce() == cluster.swimProtocol(viewer).self().nonce()) {
             startedNonces.add(entry.identity().nonce());
         }
         if (!startedNonces.contains(entry.identity().nonce())) {
             anomalies.add("invented: " + entry);
         }
-        if (known != null) {
-            compare(known, entry);
+        if (previous != null) {
+            compare(previous, entry);
         }
     }
 
     @Override
     public void onReap(int viewer, Member reaped) {
-        last.remove(keyOf(viewer, reaped));
+        lastEntries.remove(keyOf(viewer, reaped));
     }
 
-    /** A view starts empty with each process, so the key has the viewer's own nonce. */
+    /** Returns the key of an entry. It contains the viewer's nonce because each process starts with an empty view. */
     private String keyOf(int viewer, Member entry) {
         long nonce = cluster.swimProtocol(viewer).self().nonce();
         return viewer + " " + nonce + ">" + entry.identity().name();
     }
 
-    private void compare(Member known, Member entry) {
-        if (entry.identity().generation() < known.identity().generation()) {
-            anomalies.add("earlier generation: " + known + " to " + entry);
+    private void compare(Member previous, Member entry) {
+        if (entry.identity().generation() < previous.identity().generation()) {
+            anomalies.add("earlier generation: " + previous + " to " + entry);
         }
         boolean isSameProcess =
-                entry.identity().generation() == known.identity().generation()
-                        && entry.identity().nonce() == known.identity().nonce();
-        if (isSameProcess && entry.incarnation() < known.incarnation()) {
-            anomalies.add("lower incarnation: " + known + " to " + entry);
+                entry.identity().generation() == previous.identity().generation()
+                        && entry.identity().nonce() == previous.identity().nonce();
+        if (isSameProcess && entry.incarnation() < previous.incarnation()) {
+            anomalies.add("lower incarnation: " + previous + " to " + entry);
         }
-        if (isSameProcess && entry.isPresent() && isGone(known, entry)) {
-            anomalies.add("returned by an outdated update: " + known + " to " + entry);
+        if (isSameProcess && entry.isPresent() && forbidsReturn(previous, entry)) {
+            anomalies.add("returned by an outdated update: " + previous + " to " + entry);
         }
     }
 
-    /** Returns whether no update of this incarnation may bring the known member back. */
-    private static boolean isGone(Member known, Member entry) {
-        return known.state() == MemberState.LEFT
-                || (known.state() == MemberState.FAILED && entry.incarnation() <= known.incarnation());
+    /** Returns whether the previous entry forbids that an update of this incarnation makes the member present again. */
+    private static boolean forbidsReturn(Member previous, Member entry) {
+        return previous.state() == MemberState.LEFT
+                || (previous.state() == MemberState.FAILED && entry.incarnation() <= previous.incarnation());
     }
 }
