--- a/cli/src/main/java/tansypass/cli/ClusterCommand.java
+++ b/cli/src/main/java/tansypass/cli/ClusterCommand.java
@@ -72,9 +72,9 @@
             }
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.print(metrics.text());
+        out.print(metrics.toText());
         out.flush();
-        json.write(metrics::json);
+        json.write(metrics::toJson);
         if (plot != null) {
             ClusterPlot.write(metrics.rows(), plot.toFile());
         }
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
@@ -24,10 +24,10 @@
  */
 public final class ClusterMetrics {
     /** By protocol name: the product's protocol first, then the baseline that it is compared to. */
-    private static final Map<String, MembershipFactory> FACTORIES = factories();
+    private static final Map<String, MembershipFactory> PROTOCOL_FACTORIES = protocolFactories();
 
-    private static final Gson JSON = new GsonBuilder().setPrettyPrinting().create();
-    private static final int MEDIAN = 50;
+    private static final Gson GSON = new GsonBuilder().setPrettyPrinting().create();
+    private static final int MEDIAN_PERCENTILE = 50;
     /** The name of this figure in reports, which scripts read. */
     private static final String FALSE_POSITIVES = "wrongly failed in an hour";
 
@@ -45,7 +45,7 @@
     public record Row(
             String kind, int count, double loss, String figure, double median, double worst, int seeds, long missing) {}
 
-    private static Map<String, MembershipFactory> factories() {
+    private static Map<String, MembershipFactory> protocolFactories() {
         Map<String, MembershipFactory> factories = new LinkedHashMap<>();
         factories.put("swim", MembershipFactory.SWIM);
         factories.put("heartbeats", HeartbeatProtocol::new);
@@ -54,13 +54,13 @@
 
     /** Returns the names of all protocols; the first one is the product's. */
     public static List<String> protocolNames() {
-        return List.copyOf(FACTORIES.keySet());
+        return List.copyOf(PROTOCOL_FACTORIES.keySet());
     }
 
     /** Adds a row for each {@link MembershipFigure} of one protocol and cluster size, over seeds 1 to {@code seeds}. */
     public void measure(String protocol, int count, double loss, int seeds, int threads) throws InterruptedException {
-        List<Map<MembershipFigure, Double>> trials =
-                runSeeds(seeds, threads, seed -> ConvergenceTrial.run(FACTORIES.get(protocol), count, loss, seed));
+        List<Map<MembershipFigure, Double>> trials = runSeeds(
+                seeds, threads, seed -> ConvergenceTrial.run(PROTOCOL_FACTORIES.get(protocol), count, loss, seed));
         for (MembershipFigure figure : MembershipFigure.values()) {
             List<Double> values =
                     trials.stream().map(trial -> trial.get(figure)).toList();
@@ -77,7 +77,9 @@
             String protocol, int count, double loss, boolean withPauses, int seeds, int threads)
             throws InterruptedException {
         List<Result> trials = runSeeds(
-                seeds, threads, seed -> FalsePositiveTrial.run(FACTORIES.get(protocol), count, loss, withPauses, seed));
+                seeds,
+                threads,
+                seed -> FalsePositiveTrial.run(PROTOCOL_FACTORIES.get(protocol), count, loss, withPauses, seed));
         if (withPauses) {
             addRow(
                     protocol,
@@ -123,7 +125,7 @@
                 count,
                 loss,
                 figure,
-                isNeverReached ? ConvergenceTrial.NEVER : StatUtils.percentile(reached, MEDIAN),
+                isNeverReached ? ConvergenceTrial.NEVER : StatUtils.percentile(reached, MEDIAN_PERCENTILE),
                 isNeverReached ? ConvergenceTrial.NEVER : StatUtils.max(reached),
                 values.size(),
                 values.size() - reached.length));
@@ -135,12 +137,12 @@
     }
 
     /** Returns the rows as a table for people. */
-    public String text() {
+    public String toText() {
         return ClusterMetricsText.format(rows);
     }
 
     /** Returns the rows as a JSON array. */
-    public String json() {
-        return JSON.toJson(rows);
+    public String toJson() {
+        return GSON.toJson(rows);
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
+++ b/testbed/src/test/java/tansypass/testbed/ExternalNamesTest.java
@@ -87,7 +87,7 @@
         metrics.measure("swim", 2, 0, 1, 1);
         metrics.measureFalsePositives("swim", 2, 0, true, 1, 1);
         metrics.measureFalsePositives("heartbeats", 2, 0, false, 1, 1);
-        assertEquals(CLUSTER_METRICS, metrics.text().replaceAll(" +[0-9]+\\.[0-9]{2}", ""));
+        assertEquals(CLUSTER_METRICS, metrics.toText().replaceAll(" +[0-9]+\\.[0-9]{2}", ""));
     }
 
     @Test
--- a/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ClusterMetricsTest.java
@@ -42,7 +42,7 @@
         File picture = folder.resolve("plot.png").toFile();
         ClusterPlot.write(metrics.rows(), picture);
         assertTrue(ImageIO.read(picture).getHeight() > 500);
-        assertTrue(metrics.json().contains("\"heartbeats\""));
+        assertTrue(metrics.toJson().contains("\"heartbeats\""));
     }
 
     @Test
