--- a/testbed/src/main/java/tansypass/testbed/exploration/RandomFaultGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/RandomFaultGenerator.java
@@ -13,10 +13,10 @@
 /** Draws random faults for a scenario. Equal scenarios and equal random numbers give equal faults. */
 final class RandomFaultGenerator {
     private static final int MAX_FAULTS = 8;
-    /** One process target in 6 is a group of all nodes or all servers. */
-    private static final int ALL_TARGETS_RATIO = 6;
+    /** One process target in 6 is the group of all nodes or of all servers. */
+    private static final int GROUP_RATIO = 6;
 
-    private static final double MAX_BYTES_PER_S = 200_000;
+    private static final double RATE_RANGE_BYTES_PER_S = 200_000;
     private static final long MAX_FAULT_TIME_US = 600_000;
 
     private final Scenario scenario;
@@ -47,7 +47,7 @@
         long halfLengthUs = scenario.lengthUs() / 2;
         long durationUs = (long) (halfLengthUs * Math.pow(random.nextDouble(), 3));
         double amount = kind == Kind.RATE
-                ? ScenarioFile.MIN_RATE_BYTES_PER_S + random.nextDouble() * MAX_BYTES_PER_S
+                ? ScenarioFile.MIN_RATE_BYTES_PER_S + random.nextDouble() * RATE_RANGE_BYTES_PER_S
                 : random.nextDouble();
         return new Fault(
                 kind,
@@ -82,6 +82,6 @@
     }
 
     private String drawProcess(String kind, int count) {
-        return kind + (random.nextInt(ALL_TARGETS_RATIO) == 0 ? "*" : Integer.toString(random.nextInt(count)));
+        return kind + (random.nextInt(GROUP_RATIO) == 0 ? "*" : Integer.toString(random.nextInt(count)));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
@@ -26,9 +26,9 @@
     /** Shrinking makes no fault shorter than this. */
     private static final long MIN_DURATION_US = 10_000;
 
-    private final Scenario base;
+    private final Scenario baseScenario;
     private final Runner runner;
-    private final IntConsumer progress;
+    private final IntConsumer progressListener;
 
     /** Runs scenarios; called by several threads at the same time. */
     public interface Runner {
@@ -51,15 +51,15 @@
     public record Result(int tried, Optional<Finding> found) {}
 
     /** Creates an explorer that injects the scenario's own faults together with the random ones. */
-    public ScheduleExplorer(Scenario base, Runner runner) {
-        this(base, runner, tried -> {});
+    public ScheduleExplorer(Scenario baseScenario, Runner runner) {
+        this(baseScenario, runner, tried -> {});
     }
 
     /** Creates an explorer; {@code progress} gets the number of schedules started so far, on any of the threads. */
-    public ScheduleExplorer(Scenario base, Runner runner, IntConsumer progress) {
-        this.base = base;
+    public ScheduleExplorer(Scenario baseScenario, Runner runner, IntConsumer progressListener) {
+        this.baseScenario = baseScenario;
         this.runner = runner;
-        this.progress = progress;
+        this.progressListener = progressListener;
     }
 
     /**
@@ -83,7 +83,7 @@
         } finally {
             pool.shutdownNow();
         }
-        return new Result(search.tried.get(), search.violatingSeed().map(seed -> shrink(randomized(seed), seed)));
+        return new Result(search.tried.get(), search.violatingSeed().map(seed -> shrink(addRandomFaults(seed), seed)));
     }
 
     /** A search through a range of seeds, which several threads run at the same time. */
@@ -107,8 +107,8 @@
         public void run() {
             long seed = nextSeed.getAndIncrement();
             while (seed < endSeed && seed < violatingSeed.get() && System.nanoTime() < endNs) {
-                progress.accept(tried.incrementAndGet());
-                if (runner.run(randomized(seed), seed).violationCount() > 0) {
+                progressListener.accept(tried.incrementAndGet());
+                if (runner.run(addRandomFaults(seed), seed).violationCount() > 0) {
                     violatingSeed.accumulateAndGet(seed, Math::min);
                 }
                 seed = nextSeed.getAndIncrement();
@@ -121,10 +121,10 @@
         }
     }
 
-    private Scenario randomized(long seed) {
-        List<Fault> faults = new ArrayList<>(base.faults());
-        faults.addAll(new RandomFaultGenerator(base, RandomStreams.of(seed, "faults")).draw());
-        return base.withFaults(faults);
+    private Scenario addRandomFaults(long seed) {
+        List<Fault> faults = new ArrayList<>(baseScenario.faults());
+        faults.addAll(new RandomFaultGenerator(baseScenario, RandomStreams.of(seed, "faults")).draw());
+        return baseScenario.withFaults(faults);
     }
 
     private Finding shrink(Scenario violating, long seed) {
--- a/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkMatrix.java
@@ -33,7 +33,7 @@
         this.delayUs = delayUs;
     }
 
-    private static long key(int from, int to) {
+    private static long linkKey(int from, int to) {
         return (long) from << Integer.SIZE | to;
     }
 
@@ -49,7 +49,7 @@
 
     private void applyOneWay(int from, int to, Fault fault, boolean begins) {
         LinkState link = links.computeIfAbsent(
-                key(from, to),
+                linkKey(from, to),
                 missing -> new LinkState(
                         delayUs.applyAsLong(from, to), RandomStreams.of(seed, "member-" + from + ">" + to)));
         link.apply(fault, begins);
@@ -67,13 +67,13 @@
 
     /** Returns whether the filter or a fault blocks all data from one node to another. */
     public boolean isCut(int from, int to) {
-        LinkState link = links.get(key(from, to));
+        LinkState link = links.get(linkKey(from, to));
         return !passesFilter(from, to) || (link != null && link.isCut(Direction.THERE));
     }
 
     /** Returns the arrival times of the copies of a datagram; see {@link LinkState#datagramDueUs}. */
     public List<Long> datagramDueUs(int from, int to, long nowUs, int bytes) {
-        LinkState link = links.get(key(from, to));
+        LinkState link = links.get(linkKey(from, to));
         return link == null
                 ? List.of(nowUs + delayUs.applyAsLong(from, to))
                 : link.datagramDueUs(Direction.THERE, nowUs, bytes);
@@ -81,7 +81,7 @@
 
     /** Returns the arrival time of a chunk of a stream; see {@link LinkState#streamDueUs}. */
     public long streamDueUs(int from, int to, long nowUs, int bytes) {
-        LinkState link = links.get(key(from, to));
+        LinkState link = links.get(linkKey(from, to));
         return link == null ? nowUs + delayUs.applyAsLong(from, to) : link.streamDueUs(Direction.THERE, nowUs, bytes);
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/model/LinkState.java
+++ b/testbed/src/main/java/tansypass/testbed/model/LinkState.java
@@ -14,11 +14,12 @@
  */
 public final class LinkState {
     /** The extra delay of a lost chunk of a stream: the smallest retransmission timeout of common TCP stacks. */
-    private static final long RETRANSMISSION_US = 200_000;
+    private static final long RETRANSMISSION_DELAY_US = 200_000;
 
     private final long delayUs;
     private final UniformRandomProvider random;
     private final List<Fault> activeFaults = new ArrayList<>();
+    /** By direction, the arrival time of the last chunk sent so far. */
     private final long[] lastDueUs = new long[2];
 
     /** A direction of the link: from the first end to the second, or back. */
@@ -117,7 +118,7 @@
             if (affects(fault, direction)) {
                 transitUs += switch (fault.kind()) {
                     case DELAY -> fault.timeUs();
-                    case LOSS -> random.nextDouble() < fault.amount() ? RETRANSMISSION_US : 0;
+                    case LOSS -> random.nextDouble() < fault.amount() ? RETRANSMISSION_DELAY_US : 0;
                     case JITTER -> Math.round(random.nextDouble() * fault.timeUs());
                     default -> 0;
                 };
--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -25,12 +25,12 @@
  * and faults. The caller delivers complete requests and sends the responses. Times are microseconds. Not thread-safe.
  */
 public final class WebServer {
-    private static final int OK = 200;
-    private static final int ERROR = 500;
-    private static final int REJECTED = 503;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_ERROR = 500;
+    private static final int STATUS_UNAVAILABLE = 503;
 
     private final String name;
-    private final Servers spec;
+    private final Servers settings;
     private final Scheduler scheduler;
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential workFactor;
@@ -39,7 +39,7 @@
     private final List<Runnable> deferredResponses = new ArrayList<>();
     private final Map<String, CachedResponse> cachedResponses = new HashMap<>();
     private long startedUs;
-    private int connections;
+    private int connectionCount;
     private double speedFactor = 1;
     private double errorRate;
     private boolean isHanging;
@@ -64,7 +64,7 @@
 
         private final long workUs;
         private final Consumer<Response> handler;
-        private Scheduler.Timer timer;
+        private Scheduler.Timer finishTimer;
         private boolean isOver;
 
         private Execution(RequestClass requestClass, Optional<String> key, long workUs, Consumer<Response> handler) {
@@ -79,19 +79,19 @@
             if (!isOver) {
                 isOver = true;
                 queue.remove(this);
-                release(this);
+                releaseCore(this);
             }
         }
     }
 
     /** Creates a running server whose slow start is over. */
-    public WebServer(String name, Servers spec, Scheduler scheduler, UniformRandomProvider random) {
+    public WebServer(String name, Servers settings, Scheduler scheduler, UniformRandomProvider random) {
         this.name = name;
-        this.spec = spec;
+        this.settings = settings;
         this.scheduler = scheduler;
         this.random = random;
         workFactor = ZigguratSampler.Exponential.of(random);
-        startedUs = scheduler.nowUs() - spec.slowStartUs();
+        startedUs = scheduler.nowUs() - settings.slowStartUs();
     }
 
     /** Returns the name of the server, such as {@code server-0}. */
@@ -101,21 +101,21 @@
 
     /** Accepts a connection; returns false if the server already has the maximum number. */
     public boolean acceptConnection() {
-        if (connections >= spec.maxConnections()) {
+        if (connectionCount >= settings.maxConnections()) {
             return false;
         }
-        connections++;
+        connectionCount++;
         return true;
     }
 
     /** Called when a connection has ended. Connections from before a restart are no longer counted. */
     public void connectionClosed() {
-        connections = Math.max(0, connections - 1);
+        connectionCount = Math.max(0, connectionCount - 1);
     }
 
     /** Returns the time after which the server closes an idle connection. */
     public long idleTimeoutUs() {
-        return spec.idleTimeoutUs();
+        return settings.idleTimeoutUs();
     }
 
     /**
@@ -127,33 +127,33 @@
     public Execution serve(
             RequestClass requestClass, Optional<String> key, boolean isFirstOnConnection, Consumer<Response> handler) {
         long workUs = Math.round(workFactor.sample() * requestClass.meanWorkUs())
-                + (isFirstOnConnection ? spec.handshakeWorkUs() : 0);
+                + (isFirstOnConnection ? settings.handshakeWorkUs() : 0);
         Execution execution = new Execution(requestClass, key, workUs, handler);
-        if (isDraining || (running.size() >= spec.cores() && queue.size() >= spec.maxQueued())) {
+        if (isDraining || (running.size() >= settings.cores() && queue.size() >= settings.maxQueued())) {
             execution.isOver = true;
-            sendOrDefer(() -> handler.accept(new Response(REJECTED, "", loadReport(), true)));
+            sendOrDefer(() -> handler.accept(new Response(STATUS_UNAVAILABLE, "", loadReport(), true)));
         } else {
             queue.add(execution);
-            startQueued();
+            startQueuedRequests();
         }
         return execution;
     }
 
-    private void startQueued() {
-        while (!isHanging && running.size() < spec.cores() && !queue.isEmpty()) {
+    private void startQueuedRequests() {
+        while (!isHanging && running.size() < settings.cores() && !queue.isEmpty()) {
             Execution execution = queue.poll();
             running.add(execution);
             long serviceUs = Math.max(1, Math.round(execution.workUs / speed()));
-            execution.timer = scheduler.after(serviceUs, () -> finish(execution));
+            execution.finishTimer = scheduler.after(serviceUs, () -> finish(execution));
         }
     }
 
     /** Returns the present speed as a share of the full speed. */
     double speed() {
-        double warmedUpShare = spec.slowStartUs() == 0
+        double warmedUpShare = settings.slowStartUs() == 0
                 ? 1
-                : Math.min(1, (double) (scheduler.nowUs() - startedUs) / spec.slowStartUs());
-        return speedFactor * (spec.slowStartFactor() + (1 - spec.slowStartFactor()) * warmedUpShare);
+                : Math.min(1, (double) (scheduler.nowUs() - startedUs) / settings.slowStartUs());
+        return speedFactor * (settings.slowStartFactor() + (1 - settings.slowStartFactor()) * warmedUpShare);
     }
 
     private void finish(Execution execution) {
@@ -162,24 +162,24 @@
         } else if (!execution.isOver) {
             execution.isOver = true;
             sendResponse(execution);
-            release(execution);
+            releaseCore(execution);
         }
     }
 
-    private void release(Execution execution) {
+    private void releaseCore(Execution execution) {
         if (running.remove(execution)) {
-            execution.timer.cancel();
-            startQueued();
+            execution.finishTimer.cancel();
+            startQueuedRequests();
         }
     }
 
     private void sendResponse(Execution execution) {
         if (random.nextDouble() < errorRate) {
-            execution.handler.accept(new Response(ERROR, "error", loadReport(), false));
+            execution.handler.accept(new Response(STATUS_ERROR, "error", loadReport(), false));
             return;
         }
         String body = execution.key.flatMap(this::findCachedBody).orElseGet(() -> produceBody(execution));
-        execution.handler.accept(new Response(OK, body, loadReport(), false));
+        execution.handler.accept(new Response(STATUS_OK, body, loadReport(), false));
     }
 
     private Optional<String> findCachedBody(String key) {
@@ -191,21 +191,21 @@
     private String produceBody(Execution execution) {
         String body = name + " " + HexFormat.of().toHexDigits(random.nextLong());
         long untilUs = scheduler.nowUs() + execution.requestClass.deduplicationWindowUs();
-        execution.key.ifPresent(key -> cache(key, new CachedResponse(body, untilUs)));
+        execution.key.ifPresent(key -> cacheResponse(key, new CachedResponse(body, untilUs)));
         return body;
     }
 
-    private void cache(String key, CachedResponse response) {
+    private void cacheResponse(String key, CachedResponse response) {
         cachedResponses.put(key, response);
         scheduler.after(response.untilUs - scheduler.nowUs(), () -> cachedResponses.remove(key, response));
     }
 
     private Optional<String> loadReport() {
-        if (!spec.sendsLoadReports()) {
+        if (!settings.sendsLoadReports()) {
             return Optional.empty();
         }
         int inFlight = running.size() + queue.size();
-        double utilization = (double) running.size() / spec.cores();
+        double utilization = (double) running.size() / settings.cores();
         return Optional.of("inflight=" + inFlight + ",queue=" + queue.size() + ",util=" + utilization);
     }
 
@@ -240,7 +240,7 @@
             List<Runnable> responses = new ArrayList<>(deferredResponses);
             deferredResponses.clear();
             responses.forEach(Runnable::run);
-            startQueued();
+            startQueuedRequests();
         }
     }
 
@@ -250,12 +250,12 @@
         queue.clear();
         running.forEach(execution -> {
             execution.isOver = true;
-            execution.timer.cancel();
+            execution.finishTimer.cancel();
         });
         running.clear();
         deferredResponses.clear();
         cachedResponses.clear();
-        connections = 0;
+        connectionCount = 0;
     }
 
     /** Starts the process again, and begins its slow start. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/BalancerInputs.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/BalancerInputs.java
@@ -19,11 +19,11 @@
     private BalancerInputs() {}
 
     /** Converts entries of the endpoint list to server entries of the balancer. */
-    static List<ServerEntry> serverEntries(Scenario scenario, List<EndpointRegistry.Entry> entries) {
-        return entries.stream().map(entry -> serverEntry(scenario, entry)).toList();
+    static List<ServerEntry> toServerEntries(Scenario scenario, List<EndpointRegistry.Entry> entries) {
+        return entries.stream().map(entry -> toServerEntry(scenario, entry)).toList();
     }
 
-    private static ServerEntry serverEntry(Scenario scenario, EndpointRegistry.Entry entry) {
+    private static ServerEntry toServerEntry(Scenario scenario, EndpointRegistry.Entry entry) {
         return new ServerEntry(
                 entry.name(),
                 scenario.nodes().zones().indexOf(scenario.zone(entry.number())),
@@ -38,7 +38,7 @@
     }
 
     /** Returns the settings of a node's balancer. */
-    static BalancerSettings settings(Scenario scenario, int node) {
+    static BalancerSettings toSettings(Scenario scenario, int node) {
         List<String> zones = scenario.nodes().zones();
         return BalancerSettings.builder()
                 .nodes(scenario.nodes().count())
@@ -54,12 +54,12 @@
                 .slowStartCapacity(scenario.servers().slowStartFactor())
                 .slowStartUs(scenario.servers().slowStartUs())
                 .classes(scenario.classes().stream()
-                        .map(BalancerInputs::requestClass)
+                        .map(BalancerInputs::toBalancerClass)
                         .toList())
                 .build();
     }
 
-    private static tansypass.balancer.RequestClass requestClass(RequestClass requestClass) {
+    private static tansypass.balancer.RequestClass toBalancerClass(RequestClass requestClass) {
         return new tansypass.balancer.RequestClass(
                 requestClass.name(),
                 requestClass.latencyObjectiveUs(),
@@ -67,13 +67,13 @@
                 requestClass.deadlineUs(),
                 1,
                 0,
-                idempotency(requestClass.idempotency()),
+                toBalancerIdempotency(requestClass.idempotency()),
                 DeduplicationScope.valueOf(requestClass.deduplicationScope().name()),
                 requestClass.deduplicationWindowUs(),
                 false);
     }
 
-    private static Idempotency idempotency(NodeFile.Idempotency configured) {
+    private static Idempotency toBalancerIdempotency(NodeFile.Idempotency configured) {
         return switch (configured) {
             case SAFE -> Idempotency.IDEMPOTENT;
             case KEYED -> Idempotency.KEYED;
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
@@ -13,15 +13,15 @@
         StringBuilder text = new StringBuilder();
         String lastHeading = "";
         for (Row row : rows) {
-            String heading = heading(row);
+            String heading = formatHeading(row);
             text.append(heading.equals(lastHeading) ? "" : heading);
             lastHeading = heading;
-            text.append(line(row));
+            text.append(formatRow(row));
         }
         return text.toString();
     }
 
-    private static String heading(Row row) {
+    private static String formatHeading(Row row) {
         return String.format(
                 Locale.ROOT,
                 "%s, %d processes, %.0f %% of datagrams lost, %d seeds: median, worst%n",
@@ -31,7 +31,7 @@
                 row.seeds());
     }
 
-    private static String line(Row row) {
+    private static String formatRow(Row row) {
         return String.format(
                 Locale.ROOT,
                 "  %-52s %10.2f %10.2f%s%n",
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
@@ -24,7 +24,7 @@
      * By request id, the class of the request. An entry stays until the client's timeout, because an attempt can reach
      * a server after the client has received its response.
      */
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    private final Map<String, RequestClass> classesById = new HashMap<>();
 
     /** A client with one request, sent to one process of a node. */
     private record Client(String id, int node, int generation) {
@@ -77,7 +77,7 @@
         }
         Client client = new Client(id, number, node.generation());
         waitingClients.put(id, client);
-        classes.put(id, requestClass);
+        classesById.put(id, requestClass);
         context.queue.after(InvariantChecker.responseTimeoutAtUs(deadlineUs) - context.nowUs(), () -> timeOut(client));
         if (!link.isCut(Direction.THERE)) {
             long dueUs = link.streamDueUs(Direction.THERE, context.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
@@ -94,7 +94,7 @@
     }
 
     private void timeOut(Client client) {
-        classes.remove(client.id);
+        classesById.remove(client.id);
         if (waitingClients.remove(client.id, client)) {
             checker.responseTimedOut(context.nowUs(), client.id);
         }
@@ -131,6 +131,6 @@
 
     /** Returns the class of a request, or the first class if no client sent this request. */
     RequestClass classOf(String id) {
-        return classes.getOrDefault(id, context.scenario.classes().get(0));
+        return classesById.getOrDefault(id, context.scenario.classes().get(0));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -38,7 +38,7 @@
             @Override
             public void onUpdate(int viewer, Member entry) {
                 context.nodes.get(viewer).onMembershipChange(view(viewer));
-                checker.viewChanged(context.nowUs(), viewer, incarnationOf(viewer), toLine(entry));
+                checker.viewChanged(context.nowUs(), viewer, liveIncarnation(viewer), toLine(entry));
             }
 
             @Override
@@ -48,11 +48,11 @@
         });
     }
 
-    private String incarnationOf(int number) {
-        return incarnation(cluster.swimProtocol(number).self());
+    private String liveIncarnation(int number) {
+        return toIncarnation(cluster.swimProtocol(number).self());
     }
 
-    private static String incarnation(Identity identity) {
+    private static String toIncarnation(Identity identity) {
         return identity.generation() + "." + identity.nonce();
     }
 
@@ -60,7 +60,7 @@
     private static MembershipInvariantChecker.Line toLine(Member member) {
         return new MembershipInvariantChecker.Line(
                 ProcessNames.numberOf(member.identity().name()),
-                incarnation(member.identity()),
+                toIncarnation(member.identity()),
                 member.state().name().toLowerCase(Locale.ROOT),
                 member.incarnation());
     }
@@ -73,7 +73,7 @@
     void start(int number) {
         int seeds = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
         cluster.start(number, IntStream.range(0, seeds).boxed().toList(), 0, DEPLOYMENT);
-        checker.setLiveIncarnation(number, incarnationOf(number));
+        checker.setLiveIncarnation(number, liveIncarnation(number));
     }
 
     void setPaused(int number, boolean paused) {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void setAttemptDeadline(long requestId, int attempt, long untilUs) {
+    public void setAttemptDeadline(long requestId, int attempt, long deadlineUs) {
         // Simulated request bodies are short, so each attempt has its deadline from the start.
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -13,11 +13,11 @@
 /** A node of a simulated run, across the starts and ends of its processes. */
 final class SimulatedNodeHandle extends NodeHandle {
     /** The duration of a simulated start; a real process takes the time that it needs. */
-    private static final long START_US = 1_500_000;
+    private static final long START_DURATION_US = 1_500_000;
     /** The time for which a draining node still accepts requests, as the product's network code does. */
     private static final long ACCEPT_WHILE_DRAINING_US = 600_000;
 
-    private static final long DRAINED_CHECK_US = 5_000;
+    private static final long DRAINED_CHECK_INTERVAL_US = 5_000;
 
     private final SimulationContext context;
     private final SimulatedNodeNetwork network;
@@ -26,7 +26,7 @@
     /** Empty before the first start. A dead process stays until the next start. */
     private Optional<SimulatedProcess> process = Optional.empty();
     /** Empty unless the node is a member of a cluster. */
-    private Optional<ClusterSizeEstimator> clusterSize = Optional.empty();
+    private Optional<ClusterSizeEstimator> clusterSizeEstimator = Optional.empty();
 
     private boolean isDraining;
     private boolean isStarting;
@@ -86,9 +86,9 @@
         SimulatedNode newNode = new SimulatedNode(
                 newProcess,
                 network,
-                BalancerInputs.settings(scenario, number()),
+                BalancerInputs.toSettings(scenario, number()),
                 RandomStreams.seedOf(context.seed, name() + "#" + generation()),
-                BalancerInputs.serverEntries(scenario, endpoints),
+                BalancerInputs.toServerEntries(scenario, endpoints),
                 context.parts);
         node = Optional.of(newNode);
         context.clientLoadBalancer.nodeReady(number());
@@ -97,12 +97,12 @@
 
     private void joinCluster(SimulatedMembership membership, SimulatedNode newNode) {
         membership.start(number());
-        clusterSize = Optional.of(new ClusterSizeEstimator(newNode::onClusterSize));
+        clusterSizeEstimator = Optional.of(new ClusterSizeEstimator(newNode::onClusterSize));
     }
 
     /** Called when the node's membership view has changed. */
     void onMembershipChange(MembershipView view) {
-        clusterSize.ifPresent(estimator -> estimator.update(view, 0));
+        clusterSizeEstimator.ifPresent(estimator -> estimator.update(view, 0));
     }
 
     /** Called when discovery notifies the node of changes of the endpoint list. */
@@ -114,7 +114,9 @@
         for (EndpointRegistry.Entry entry : event.entries()) {
             checker.endpointNotified(nowUs(), number(), entry.number(), entry.state() != State.READY);
         }
-        process().deliver(() -> notifiedNode.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
+        process()
+                .deliver(
+                        () -> notifiedNode.onEndpointUpdate(BalancerInputs.toServerEntries(scenario, event.entries())));
     }
 
     @Override
@@ -124,7 +126,7 @@
         } else if (!isAlive() && !isStarting) {
             isStarting = true;
             int startGeneration = generation();
-            context.queue.after(START_US, () -> {
+            context.queue.after(START_DURATION_US, () -> {
                 if (generation() == startGeneration && isStarting) {
                     start();
                 }
@@ -163,16 +165,16 @@
         int killedGeneration = generation();
         context.clientLoadBalancer.nodeDied(number());
         checker.excuseNode(nowUs(), number()).end(nowUs());
-        processEnded();
+        endProcess();
         context.clients.breakConnections(number(), killedGeneration);
     }
 
-    private void processEnded() {
+    private void endProcess() {
         node().stop();
         context.membership.ifPresent(membership -> membership.kill(number()));
         process().kill();
         node = Optional.empty();
-        clusterSize = Optional.empty();
+        clusterSizeEstimator = Optional.empty();
         advanceGeneration();
         isDraining = false;
         if (restartsAfterDraining) {
@@ -200,9 +202,9 @@
             return;
         }
         if (!isPaused() && node().inFlight() == 0) {
-            processEnded();
+            endProcess();
         } else {
-            context.queue.after(DRAINED_CHECK_US, () -> endWhenDrained(terminatingGeneration));
+            context.queue.after(DRAINED_CHECK_INTERVAL_US, () -> endWhenDrained(terminatingGeneration));
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
@@ -11,19 +11,19 @@
 final class SimulatedProcess implements Scheduler {
     private final Scheduler scheduler;
     private final Deque<Runnable> pendingEvents = new ArrayDeque<>();
-    private boolean paused;
-    private boolean dead;
+    private boolean isPaused;
+    private boolean isDead;
 
     SimulatedProcess(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
     boolean isPaused() {
-        return paused;
+        return isPaused;
     }
 
     boolean isDead() {
-        return dead;
+        return isDead;
     }
 
     /** Returns the number of events that wait until the process is resumed. */
@@ -33,9 +33,9 @@
 
     /** Runs an event at once; keeps it until the process is resumed, if paused; drops it, if the process is dead. */
     void deliver(Runnable event) {
-        if (paused) {
+        if (isPaused) {
             pendingEvents.add(event);
-        } else if (!dead) {
+        } else if (!isDead) {
             event.run();
         }
     }
@@ -63,16 +63,16 @@
 
     /** Pauses the process (SIGSTOP), or resumes it and runs the waiting events (SIGCONT). */
     void setPaused(boolean paused) {
-        this.paused = paused && !dead;
-        while (!this.paused && !pendingEvents.isEmpty()) {
+        isPaused = paused && !isDead;
+        while (!isPaused && !pendingEvents.isEmpty()) {
             pendingEvents.poll().run();
         }
     }
 
     /** Kills the process (SIGKILL). */
     void kill() {
-        dead = true;
-        paused = false;
+        isDead = true;
+        isPaused = false;
         pendingEvents.clear();
     }
 }
