--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -20,17 +20,17 @@
 import tansypass.testbed.scenario.Scenario.Servers;
 
 /**
- * A web server of the platform's protocol, without its sockets: cores that execute one request each, a bounded
- * queue, a slow start, the cost of a handshake, a table of connections, idempotency keys, and faults. Its user
- * delivers complete requests and sends the responses. Times are microseconds. Not thread-safe.
+ * A model of a web server that follows the platform's protocol, without sockets. It has cores that execute one request
+ * each, a bounded queue, a slow start, a handshake cost, a connection limit, a cache of responses by idempotency key,
+ * and faults. The caller delivers complete requests and sends the responses. Times are microseconds. Not thread-safe.
  */
 public final class WebServer {
-    private static final int OK = 200;
-    private static final int ERROR = 500;
-    private static final int REJECTED = 503;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_ERROR = 500;
+    private static final int STATUS_UNAVAILABLE = 503;
 
     private final String name;
-    private final Servers spec;
+    private final Servers settings;
     private final Scheduler scheduler;
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential workFactor;
@@ -39,147 +39,147 @@
     private final List<Runnable> deferredResponses = new ArrayList<>();
     private final Map<String, CachedResponse> cachedResponses = new HashMap<>();
     private long startedUs;
-    private int connections;
+    private int connectionCount;
     private double speedFactor = 1;
     private double errorRate;
-    private boolean hanging;
-    private boolean draining;
+    private boolean isHanging;
+    private boolean isDraining;
 
     /**
      * A complete response.
      *
-     * @param loadReport empty if the server sends none
-     * @param isRejected whether the request is known not to have been executed
+     * @param loadReport the value of the load report header; empty if the server sends none
+     * @param isRejected whether the server rejected the request without executing it
      */
     public record Response(int status, String body, Optional<String> loadReport, boolean isRejected) {}
 
-    /** The response to a keyed request, for its repeats. */
+    /** The cached response to a keyed request, which its repeats get until {@code untilUs}. */
     private record CachedResponse(String body, long untilUs) {}
 
-    /** A request that is queued or executing. */
+    /** A request that is queued or being executed. */
     public final class Execution {
         private final RequestClass requestClass;
-        /** Empty unless the class of the request is keyed. */
+        /** The idempotency key; empty unless the class of the request is keyed. */
         private final Optional<String> key;
 
         private final long workUs;
         private final Consumer<Response> handler;
-        private Scheduler.Timer timer;
+        private Scheduler.Timer finishTimer;
         private boolean isOver;
 
         private Execution(RequestClass requestClass, Optional<String> key, long workUs, Consumer<Response> handler) {
             this.requestClass = requestClass;
-            this.key = key.filter(any -> requestClass.idempotency() == Idempotency.KEYED);
+            this.key = key.filter(ignored -> requestClass.idempotency() == Idempotency.KEYED);
             this.workUs = workUs;
             this.handler = handler;
         }
 
-        /** Removes it from the queue or its core: its client has cancelled it. No effect once it is over. */
+        /** Cancels the request, so that it leaves the queue or its core. No effect once the request is over. */
         public void cancel() {
             if (!isOver) {
                 isOver = true;
                 queue.remove(this);
-                release(this);
+                releaseCore(this);
             }
         }
     }
 
-    /** Creates a server that started long ago, so that its slow start is over. */
-    public WebServer(String name, Servers spec, Scheduler scheduler, UniformRandomProvider random) {
+    /** Creates a running server whose slow start is over. */
+    public WebServer(String name, Servers settings, Scheduler scheduler, UniformRandomProvider random) {
         this.name = name;
-        this.spec = spec;
+        this.settings = settings;
         this.scheduler = scheduler;
         this.random = random;
         workFactor = ZigguratSampler.Exponential.of(random);
-        startedUs = scheduler.nowUs() - spec.slowStartUs();
+        startedUs = scheduler.nowUs() - settings.slowStartUs();
     }
 
-    /** Returns its name, such as {@code server-0}. */
+    /** Returns the name of the server, such as {@code server-0}. */
     public String name() {
         return name;
     }
 
-    /** Adds a connection to its table; returns false if that is full. */
+    /** Accepts a connection; returns false if the server already has the maximum number. */
     public boolean acceptConnection() {
-        if (connections >= spec.maxConnections()) {
+        if (connectionCount >= settings.maxConnections()) {
             return false;
         }
-        connections++;
+        connectionCount++;
         return true;
     }
 
-    /** A connection has ended; one from before a restart is in no table. */
+    /** Called when a connection has ended. Connections from before a restart are no longer counted. */
     public void connectionClosed() {
-        connections = Math.max(0, connections - 1);
+        connectionCount = Math.max(0, connectionCount - 1);
     }
 
-    /** Returns for how long a connection may be idle. */
-    public long idleUs() {
-        return spec.idleTimeoutUs();
+    /** Returns the time after which the server closes an idle connection. */
+    public long idleTimeoutUs() {
+        return settings.idleTimeoutUs();
     }
 
     /**
      * Queues or rejects a complete request.
      *
-     * @param key the idempotency key, which counts only if the class of the request has keyed requests
-     * @param isFirstOnConnection whether it is the first on its connection, which costs the handshake
+     * @param key the idempotency key, which is ignored unless the class of the request is keyed
+     * @param isFirstOnConnection whether the request is the first one on its connection, which adds the handshake cost
      */
     public Execution serve(
             RequestClass requestClass, Optional<String> key, boolean isFirstOnConnection, Consumer<Response> handler) {
         long workUs = Math.round(workFactor.sample() * requestClass.meanWorkUs())
-                + (isFirstOnConnection ? spec.handshakeWorkUs() : 0);
+                + (isFirstOnConnection ? settings.handshakeWorkUs() : 0);
         Execution execution = new Execution(requestClass, key, workUs, handler);
-        if (draining || (running.size() >= spec.cores() && queue.size() >= spec.maxQueued())) {
+        if (isDraining || (running.size() >= settings.cores() && queue.size() >= settings.maxQueued())) {
             execution.isOver = true;
-            sendOrDefer(() -> handler.accept(new Response(REJECTED, "", report(), true)));
+            sendOrDefer(() -> handler.accept(new Response(STATUS_UNAVAILABLE, "", loadReport(), true)));
         } else {
             queue.add(execution);
-            startQueued();
+            startQueuedRequests();
         }
         return execution;
     }
 
-    private void startQueued() {
-        while (!hanging && running.size() < spec.cores() && !queue.isEmpty()) {
+    private void startQueuedRequests() {
+        while (!isHanging && running.size() < settings.cores() && !queue.isEmpty()) {
             Execution execution = queue.poll();
             running.add(execution);
             long serviceUs = Math.max(1, Math.round(execution.workUs / speed()));
-            execution.timer = scheduler.after(serviceUs, () -> finish(execution));
+            execution.finishTimer = scheduler.after(serviceUs, () -> finish(execution));
         }
     }
 
-    /** Returns its present speed as a share of its full speed. */
+    /** Returns the present speed as a share of the full speed. */
     double speed() {
-        double warmedUpShare = spec.slowStartUs() == 0
+        double warmedUpShare = settings.slowStartUs() == 0
                 ? 1
-                : Math.min(1, (double) (scheduler.nowUs() - startedUs) / spec.slowStartUs());
-        return speedFactor * (spec.slowStartFactor() + (1 - spec.slowStartFactor()) * warmedUpShare);
+                : Math.min(1, (double) (scheduler.nowUs() - startedUs) / settings.slowStartUs());
+        return speedFactor * (settings.slowStartFactor() + (1 - settings.slowStartFactor()) * warmedUpShare);
     }
 
     private void finish(Execution execution) {
-        if (hanging) {
+        if (isHanging) {
             deferredResponses.add(() -> finish(execution));
         } else if (!execution.isOver) {
             execution.isOver = true;
-            respond(execution);
-            release(execution);
+            sendResponse(execution);
+            releaseCore(execution);
         }
     }
 
-    private void release(Execution execution) {
+    private void releaseCore(Execution execution) {
         if (running.remove(execution)) {
-            execution.timer.cancel();
-            startQueued();
+            execution.finishTimer.cancel();
+            startQueuedRequests();
         }
     }
 
-    private void respond(Execution execution) {
+    private void sendResponse(Execution execution) {
         if (random.nextDouble() < errorRate) {
-            execution.handler.accept(new Response(ERROR, "error", report(), false));
+            execution.handler.accept(new Response(STATUS_ERROR, "error", loadReport(), false));
             return;
         }
         String body = execution.key.flatMap(this::findCachedBody).orElseGet(() -> produceBody(execution));
-        execution.handler.accept(new Response(OK, body, report(), false));
+        execution.handler.accept(new Response(STATUS_OK, body, loadReport(), false));
     }
 
     private Optional<String> findCachedBody(String key) {
@@ -191,27 +191,27 @@
     private String produceBody(Execution execution) {
         String body = name + " " + HexFormat.of().toHexDigits(random.nextLong());
         long untilUs = scheduler.nowUs() + execution.requestClass.deduplicationWindowUs();
-        execution.key.ifPresent(key -> cache(key, new CachedResponse(body, untilUs)));
+        execution.key.ifPresent(key -> cacheResponse(key, new CachedResponse(body, untilUs)));
         return body;
     }
 
-    private void cache(String key, CachedResponse response) {
+    private void cacheResponse(String key, CachedResponse response) {
         cachedResponses.put(key, response);
         scheduler.after(response.untilUs - scheduler.nowUs(), () -> cachedResponses.remove(key, response));
     }
 
-    private Optional<String> report() {
-        if (!spec.sendsLoadReports()) {
+    private Optional<String> loadReport() {
+        if (!settings.sendsLoadReports()) {
             return Optional.empty();
         }
         int inFlight = running.size() + queue.size();
-        double utilization = (double) running.size() / spec.cores();
+        double utilization = (double) running.size() / settings.cores();
         return Optional.of("inflight=" + inFlight + ",queue=" + queue.size() + ",util=" + utilization);
     }
 
-    /** A server that hangs sends nothing. */
+    /** Sends a response, or defers it while the server hangs. */
     private void sendOrDefer(Runnable response) {
-        if (hanging) {
+        if (isHanging) {
             deferredResponses.add(response);
         } else {
             response.run();
@@ -219,46 +219,46 @@
     }
 
     /**
-     * Begins or ends a fault, except that its process is killed.
+     * Begins or ends a fault of the server other than the kill of its process.
      *
-     * @throws IllegalArgumentException if the fault is none of a server's own
+     * @throws IllegalArgumentException if the fault is not one of a server, or is a kill
      */
     public void applyFault(Fault fault, boolean begins) {
         switch (fault.kind()) {
-            case DRAIN -> draining = begins;
+            case DRAIN -> isDraining = begins;
             case CHOKE -> speedFactor = begins ? Math.max(0.001, fault.amount()) : 1;
             case HANG -> setHanging(begins);
             case ERRORS -> errorRate = begins ? fault.amount() : 0;
-            default -> throw new IllegalArgumentException(fault + " is not a server's own");
+            default -> throw new IllegalArgumentException("fault does not apply to a web server: " + fault);
         }
     }
 
-    /** Defers responses, or sends those that were deferred. */
-    private void setHanging(boolean on) {
-        hanging = on;
-        if (!on) {
-            List<Runnable> waiting = new ArrayList<>(deferredResponses);
+    /** Starts to defer responses, or sends the deferred ones and executes queued requests again. */
+    private void setHanging(boolean hanging) {
+        isHanging = hanging;
+        if (!hanging) {
+            List<Runnable> responses = new ArrayList<>(deferredResponses);
             deferredResponses.clear();
-            waiting.forEach(Runnable::run);
-            startQueued();
+            responses.forEach(Runnable::run);
+            startQueuedRequests();
         }
     }
 
-    /** Its process is killed: requests, connections and cached responses are lost. */
+    /** Kills the process, which loses its requests, connections and cached responses. */
     public void stop() {
-        queue.forEach(lost -> lost.isOver = true);
+        queue.forEach(execution -> execution.isOver = true);
         queue.clear();
-        running.forEach(lost -> {
-            lost.isOver = true;
-            lost.timer.cancel();
+        running.forEach(execution -> {
+            execution.isOver = true;
+            execution.finishTimer.cancel();
         });
         running.clear();
         deferredResponses.clear();
         cachedResponses.clear();
-        connections = 0;
+        connectionCount = 0;
     }
 
-    /** Its process has started again, and its slow start begins. */
+    /** Starts the process again, and begins its slow start. */
     public void start() {
         startedUs = scheduler.nowUs();
     }
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -96,7 +96,7 @@
 
     private void runAfterTransit(int bytes, Runnable delivery) {
         long nowUs = scheduler.nowUs();
-        long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
+        long transitUs = linkState.streamDueUs(direction, nowUs, bytes) - nowUs;
         if (transitUs <= 0 && deliveriesInTransit.isEmpty()) {
             delivery.run();
         } else {
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -10,23 +10,23 @@
 import tansypass.testbed.model.EndpointRegistry.State;
 import tansypass.testbed.model.NodeHandle;
 
-/** A node of a simulated run and the process that it has now, if any. */
+/** A node of a simulated run, across the starts and ends of its processes. */
 final class SimulatedNodeHandle extends NodeHandle {
-    /** How long a start takes; on real processes it is what it is. */
-    private static final long START_US = 1_500_000;
-    /** For how long a draining node still accepts requests, as the product's own network code does. */
+    /** The duration of a simulated start; a real process takes the time that it needs. */
+    private static final long START_DURATION_US = 1_500_000;
+    /** The time for which a draining node still accepts requests, as the product's network code does. */
     private static final long ACCEPT_WHILE_DRAINING_US = 600_000;
 
-    private static final long DRAINED_CHECK_US = 5_000;
+    private static final long DRAINED_CHECK_INTERVAL_US = 5_000;
 
     private final SimulationContext context;
     private final SimulatedNodeNetwork network;
-    /** Empty if there is no process. */
+    /** Empty while the node has no process. */
     private Optional<SimulatedNode> node = Optional.empty();
-    /** Empty before the first start; a dead one stays until the next start. */
+    /** Empty before the first start. A dead process stays until the next start. */
     private Optional<SimulatedProcess> process = Optional.empty();
     /** Empty unless the node is a member of a cluster. */
-    private Optional<ClusterSizeEstimator> clusterSize = Optional.empty();
+    private Optional<ClusterSizeEstimator> clusterSizeEstimator = Optional.empty();
 
     private boolean isDraining;
     private boolean isStarting;
@@ -42,12 +42,12 @@
         return network;
     }
 
-    /** Returns the present process, or the last one, which is dead; only to be called after the first start. */
+    /** Returns the process of the last start, which may be dead; only to be called after the first start. */
     SimulatedProcess process() {
         return process.orElseThrow();
     }
 
-    /** Returns the present node; only to be called while it {@link #isAlive}. */
+    /** Returns the node of the running process; only to be called while {@link #isAlive}. */
     SimulatedNode node() {
         return node.orElseThrow();
     }
@@ -72,49 +72,51 @@
         return process().isPaused();
     }
 
-    /** Starts a process at once. */
+    /** Starts a process without a delay. */
     void start() {
-        nextGeneration();
+        advanceGeneration();
         isStarting = false;
         checker.nodeStarted(nowUs(), number());
-        List<EndpointRegistry.Entry> known = context.registry.lastPublished();
-        known.stream()
+        List<EndpointRegistry.Entry> endpoints = context.registry.lastPublished();
+        endpoints.stream()
                 .filter(entry -> entry.state() != State.READY)
                 .forEach(entry -> checker.endpointNotified(nowUs(), number(), entry.number(), true));
-        SimulatedProcess startedProcess = new SimulatedProcess(context.queue);
-        process = Optional.of(startedProcess);
-        SimulatedNode started = new SimulatedNode(
-                startedProcess,
+        SimulatedProcess newProcess = new SimulatedProcess(context.queue);
+        process = Optional.of(newProcess);
+        SimulatedNode newNode = new SimulatedNode(
+                newProcess,
                 network,
-                BalancerInputs.settings(scenario, number()),
+                BalancerInputs.toSettings(scenario, number()),
                 RandomStreams.seedOf(context.seed, name() + "#" + generation()),
-                BalancerInputs.serverEntries(scenario, known),
+                BalancerInputs.toServerEntries(scenario, endpoints),
                 context.parts);
-        node = Optional.of(started);
+        node = Optional.of(newNode);
         context.clientLoadBalancer.nodeReady(number());
-        context.membership.ifPresent(membership -> joinCluster(membership, started));
+        context.membership.ifPresent(membership -> joinCluster(membership, newNode));
     }
 
-    private void joinCluster(SimulatedMembership membership, SimulatedNode started) {
+    private void joinCluster(SimulatedMembership membership, SimulatedNode newNode) {
         membership.start(number());
-        clusterSize = Optional.of(new ClusterSizeEstimator(started::onClusterSize));
+        clusterSizeEstimator = Optional.of(new ClusterSizeEstimator(newNode::onClusterSize));
     }
 
-    /** The node's own membership view has changed. */
-    void membershipChanged(MembershipView view) {
-        clusterSize.ifPresent(estimator -> estimator.update(view, 0));
+    /** Called when the node's membership view has changed. */
+    void onMembershipChange(MembershipView view) {
+        clusterSizeEstimator.ifPresent(estimator -> estimator.update(view, 0));
     }
 
-    /** Discovery notifies the node of a change. */
-    void notifyOf(EndpointRegistry.WatchEvent event) {
+    /** Called when discovery notifies the node of changes of the endpoint list. */
+    void onWatchEvent(EndpointRegistry.WatchEvent event) {
         if (!isAlive()) {
             return;
         }
-        SimulatedNode notified = node();
+        SimulatedNode notifiedNode = node();
         for (EndpointRegistry.Entry entry : event.entries()) {
             checker.endpointNotified(nowUs(), number(), entry.number(), entry.state() != State.READY);
         }
-        process().deliver(() -> notified.onEndpointUpdate(BalancerInputs.serverEntries(scenario, event.entries())));
+        process()
+                .deliver(
+                        () -> notifiedNode.onEndpointUpdate(BalancerInputs.toServerEntries(scenario, event.entries())));
     }
 
     @Override
@@ -123,9 +125,9 @@
             restartsAfterDraining = true;
         } else if (!isAlive() && !isStarting) {
             isStarting = true;
-            int starting = generation();
-            context.queue.after(START_US, () -> {
-                if (generation() == starting && isStarting) {
+            int startGeneration = generation();
+            context.queue.after(START_DURATION_US, () -> {
+                if (generation() == startGeneration && isStarting) {
                     start();
                 }
             });
@@ -133,47 +135,47 @@
     }
 
     @Override
-    public void pause(boolean on) {
-        if (on && isAlive() && !isPaused()) {
-            process().pause(true);
-            pauseMember(true);
+    public void setPaused(boolean paused) {
+        if (paused && isAlive() && !isPaused()) {
+            process().setPaused(true);
+            setMemberPaused(true);
             beginPauseExcuse();
-        } else if (!on && isPaused()) {
+        } else if (!paused && isPaused()) {
             endPauseExcuse();
-            process().pause(false);
-            pauseMember(false);
+            process().setPaused(false);
+            setMemberPaused(false);
         }
     }
 
-    private void pauseMember(boolean on) {
-        context.membership.ifPresent(membership -> membership.pause(number(), on));
+    private void setMemberPaused(boolean paused) {
+        context.membership.ifPresent(membership -> membership.setPaused(number(), paused));
     }
 
-    /** Kills its process, also one that is just starting. */
+    /** Kills the process, or cancels a start in progress. */
     @Override
     public void kill() {
         isStarting = false;
         if (!isAlive()) {
-            nextGeneration();
+            advanceGeneration();
             return;
         }
         if (isPaused()) {
             endPauseExcuse();
         }
-        int killed = generation();
+        int killedGeneration = generation();
         context.clientLoadBalancer.nodeDied(number());
         checker.excuseNode(nowUs(), number()).end(nowUs());
-        processEnded();
-        context.clients.breakConnections(number(), killed);
+        endProcess();
+        context.clients.breakConnections(number(), killedGeneration);
     }
 
-    private void processEnded() {
+    private void endProcess() {
         node().stop();
         context.membership.ifPresent(membership -> membership.kill(number()));
         process().kill();
         node = Optional.empty();
-        clusterSize = Optional.empty();
-        nextGeneration();
+        clusterSizeEstimator = Optional.empty();
+        advanceGeneration();
         isDraining = false;
         if (restartsAfterDraining) {
             restartsAfterDraining = false;
@@ -181,7 +183,7 @@
         }
     }
 
-    /** Accepts requests for some time still, responds to all of them, and ends. */
+    /** Starts to drain: still accepts requests for a short time, responds to all of them, and then ends. */
     @Override
     public void terminate() {
         if (!isAlive() || isDraining) {
@@ -190,19 +192,19 @@
         isDraining = true;
         context.membership.ifPresent(membership -> membership.leave(number()));
         context.clientLoadBalancer.nodeNotReady(number());
-        int terminating = generation();
-        context.queue.after(ACCEPT_WHILE_DRAINING_US, () -> endWhenDrained(terminating));
+        int terminatingGeneration = generation();
+        context.queue.after(ACCEPT_WHILE_DRAINING_US, () -> endWhenDrained(terminatingGeneration));
         enforceTermination();
     }
 
-    private void endWhenDrained(int terminating) {
-        if (generation() != terminating) {
+    private void endWhenDrained(int terminatingGeneration) {
+        if (generation() != terminatingGeneration) {
             return;
         }
         if (!isPaused() && node().inFlight() == 0) {
-            processEnded();
+            endProcess();
         } else {
-            context.queue.after(DRAINED_CHECK_US, () -> endWhenDrained(terminating));
+            context.queue.after(DRAINED_CHECK_INTERVAL_US, () -> endWhenDrained(terminatingGeneration));
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -8,9 +8,9 @@
 import tansypass.testbed.model.LinkState.Direction;
 import tansypass.testbed.scenario.Scenario;
 
-/** The network of one node in a simulated run: its links to the servers and from the clients. */
+/** The network of one simulated node: the links from the node to the servers, and the link from the clients to it. */
 final class SimulatedNodeNetwork implements SimulatedNetwork {
-    /** The size of a request or response, for links with a limited rate. */
+    /** The assumed size of each request and response on links with a rate limit. */
     static final int MESSAGE_BYTES = 300;
 
     private final SimulationContext context;
@@ -41,29 +41,35 @@
     }
 
     @Override
-    public void connect(String name, Callback callback) {
-        SimulatedServer server = context.server(name);
+    public void connect(String serverName, Callback callback) {
+        SimulatedServer server = context.server(serverName);
         LinkState link = serverLinks.get(server.number());
         SimulatedProcess caller = node.process();
         if (link.blocksHandshakes()) {
             return;
         }
-        long arrivalUs = link.dueUs(Direction.THERE, context.nowUs(), 0);
+        long arrivalUs = link.streamDueUs(Direction.THERE, context.nowUs(), 0);
         context.queue.after(arrivalUs - context.nowUs(), () -> {
             boolean isAccepted =
                     server.isUp() && !link.isReset() && server.model().acceptConnection();
             AttemptResult result = isAccepted ? AttemptResult.OK : AttemptResult.CONNECT_FAILED;
-            long backUs = link.dueUs(Direction.BACK, context.nowUs(), 0);
+            long backUs = link.streamDueUs(Direction.BACK, context.nowUs(), 0);
             context.queue.after(
                     backUs - context.nowUs(), () -> caller.deliver(() -> callback.onComplete(result, 0, "")));
         });
     }
 
     @Override
-    public OutboundRequest send(String name, long request, boolean fresh, Callback callback) {
-        SimulatedServer server = context.server(name);
+    public OutboundRequest send(String serverName, long request, boolean isFirstOnConnection, Callback callback) {
+        SimulatedServer server = context.server(serverName);
         InFlightMessage message = new InFlightMessage(
-                context, server, serverLinks.get(server.number()), node.process(), request, fresh, callback);
+                context,
+                server,
+                serverLinks.get(server.number()),
+                node.process(),
+                request,
+                isFirstOnConnection,
+                callback);
         message.start();
         return message;
     }
@@ -78,12 +84,12 @@
         if (clientLink.isCut(Direction.BACK)) {
             return;
         }
-        long dueUs = clientLink.dueUs(Direction.BACK, context.nowUs(), MESSAGE_BYTES);
+        long dueUs = clientLink.streamDueUs(Direction.BACK, context.nowUs(), MESSAGE_BYTES);
         context.queue.after(dueUs - context.nowUs(), () -> context.clients.receive(request, status, body));
     }
 
     @Override
-    public void moduleFailed(RuntimeException fault) {
-        context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + fault);
+    public void balancerFailed(RuntimeException exception) {
+        context.checker.processDied(context.nowUs(), node.name(), "failed in a call of its module: " + exception);
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.simulation;
 
-/** A network that forwards every call, for tests that override some. */
+/** A network that forwards every call. Tests override some of the methods. */
 public class ForwardingNetwork implements SimulatedNetwork {
     private final SimulatedNetwork delegate;
 
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-        return delegate.send(server, request, fresh, callback);
+    public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
+        return delegate.send(server, request, isFirstOnConnection, callback);
     }
 
     @Override
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void moduleFailed(RuntimeException fault) {
-        delegate.moduleFailed(fault);
+    public void balancerFailed(RuntimeException exception) {
+        delegate.balancerFailed(exception);
     }
 }
