--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -38,7 +38,7 @@
             @Override
             public void onUpdate(int viewer, Member entry) {
                 context.nodes.get(viewer).onMembershipChange(view(viewer));
-                checker.viewChanged(context.nowUs(), viewer, liveIncarnation(viewer), toLine(entry));
+                checker.viewChanged(context.nowUs(), viewer, liveProcessKey(viewer), toLine(entry));
             }
 
             @Override
@@ -48,11 +48,12 @@
         });
     }
 
-    private String liveIncarnation(int number) {
-        return toIncarnation(cluster.swimProtocol(number).self());
+    /** Returns the key of a node's current process, as {@link MembershipInvariantChecker} defines it. */
+    private String liveProcessKey(int number) {
+        return toProcessKey(cluster.swimProtocol(number).self());
     }
 
-    private static String toIncarnation(Identity identity) {
+    private static String toProcessKey(Identity identity) {
         return identity.generation() + "." + identity.nonce();
     }
 
@@ -60,7 +61,7 @@
     private static MembershipInvariantChecker.Line toLine(Member member) {
         return new MembershipInvariantChecker.Line(
                 ProcessNames.numberOf(member.identity().name()),
-                toIncarnation(member.identity()),
+                toProcessKey(member.identity()),
                 member.state().name().toLowerCase(Locale.ROOT),
                 member.incarnation());
     }
@@ -73,7 +74,7 @@
     void start(int number) {
         int seeds = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
         cluster.start(number, IntStream.range(0, seeds).boxed().toList(), 0, DEPLOYMENT);
-        checker.setLiveProcess(number, liveIncarnation(number));
+        checker.setLiveProcess(number, liveProcessKey(number));
     }
 
     void setPaused(int number, boolean paused) {
--- a/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void measuresDetectionTimeOfEarlierIncarnation() {
+    void measuresDetectionTimeOfEarlierProcess() {
         changeView(0, "b", "alive", 0);
         members.memberDied(1, US_PER_SECOND);
         members.setLiveProcess(1, "c");
