--- a/testbed/src/main/java/tansypass/testbed/invariant/Excuse.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/Exemption.java
@@ -1,11 +1,11 @@
 package tansypass.testbed.invariant;
 
-/** A period in which a node is not held responsible for responses that its clients miss. */
-public final class Excuse {
+/** A period in which a missing or late response of a node is not a violation, because a fault affects the node. */
+public final class Exemption {
     private final long startUs;
     private long endUs = Long.MAX_VALUE;
 
-    Excuse(long startUs) {
+    Exemption(long startUs) {
         this.startUs = startUs;
     }
 
--- a/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
@@ -36,7 +36,7 @@
     private final Set<String> endedIds = new HashSet<>();
     private final DrainNotifications drainNotifications;
     private final AttemptInvariants attemptInvariants;
-    private final NodeExcuses excuses = new NodeExcuses();
+    private final NodeExemptions exemptions = new NodeExemptions();
     private final Optional<MembershipInvariantChecker> membershipChecker;
     private int closedUnreadCount;
 
@@ -123,7 +123,8 @@
                     nowUs,
                     "node-" + request.node + " served " + id + " with what no server made for it");
         }
-        if (nowUs > request.deadlineUs + TIMING_SLACK_US + LATE_RESPONSE_TOLERANCE_US && !excuses.isExcused(request)) {
+        if (nowUs > request.deadlineUs + TIMING_SLACK_US + LATE_RESPONSE_TOLERANCE_US
+                && !exemptions.isExempt(request)) {
             recorder.recordViolation(
                     Invariant.ANSWERED,
                     nowUs,
@@ -149,10 +150,10 @@
     public void connectionBroken(long nowUs, String id, boolean isFirst) {
         recorder.trace(nowUs, "broken", id, isFirst ? 1 : 0);
         RequestRecord request = requests.get(id);
-        boolean isExcused = excuses.isExcused(request);
-        if (!isExcused && isFirst) {
+        boolean isExempt = exemptions.isExempt(request);
+        if (!isExempt && isFirst) {
             closedUnreadCount++;
-        } else if (!isExcused) {
+        } else if (!isExempt) {
             recorder.recordViolation(
                     Invariant.ANSWERED,
                     nowUs,
@@ -171,7 +172,7 @@
     public void responseTimedOut(long nowUs, String id) {
         recorder.trace(nowUs, "gave up", id, 0);
         RequestRecord request = requests.get(id);
-        if (!excuses.isExcused(request)) {
+        if (!exemptions.isExempt(request)) {
             recorder.recordViolation(Invariant.ANSWERED, nowUs, "node-" + request.node + " never answered " + id);
         }
         endRequest(nowUs, id, request, End.TIMED_OUT);
@@ -213,12 +214,12 @@
     }
 
     /**
-     * Excuses a node until the returned excuse is ended, because it is killed or stopped or its link to the clients has
-     * a fault.
+     * Exempts a node from {@link Invariant#ANSWERED} until the returned exemption is ended, because the node is killed
+     * or stopped, or because its link to the clients has a fault.
      */
-    public Excuse excuseNode(long nowUs, int node) {
+    public Exemption exemptNode(long nowUs, int node) {
         recorder.trace(nowUs, "excused", "node-" + node, 0);
-        return excuses.excuse(nowUs, node);
+        return exemptions.begin(nowUs, node);
     }
 
     /** Records that a process exited, or that a call to it failed, although no fault was injected. */
--- a/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/MembershipInvariantChecker.java
@@ -14,7 +14,7 @@
  */
 public final class MembershipInvariantChecker {
     /** The number of protocol periods after the end of a fault in which a member may still be declared failed. */
-    private static final int EXCUSED_PERIODS = 30;
+    private static final int EXEMPT_PERIODS = 30;
     /**
      * The number of protocol periods in which views become equal after the last fault and the last start or exit of a
      * process.
@@ -25,7 +25,7 @@
     private final long periodUs;
     private final Map<Integer, String> liveProcessKeys = new HashMap<>();
     private final Map<Integer, Integer> activeFaultCounts = new HashMap<>();
-    private final Map<Integer, Long> excusedUntilUs = new HashMap<>();
+    private final Map<Integer, Long> exemptUntilUs = new HashMap<>();
     private final Map<String, Line> lastLines = new HashMap<>();
     private final Map<String, Death> deathByProcessKey = new LinkedHashMap<>();
 
@@ -100,7 +100,7 @@
     /** Records that a fault of a node, or of a link of this node, begins or ends. */
     public void faultChanged(int node, boolean begins, long nowUs) {
         activeFaultCounts.merge(node, begins ? 1 : -1, Integer::sum);
-        excusedUntilUs.put(node, nowUs + EXCUSED_PERIODS * periodUs);
+        exemptUntilUs.put(node, nowUs + EXEMPT_PERIODS * periodUs);
     }
 
     /** Records that a node is up, and the key of its current process. */
@@ -146,8 +146,8 @@
         if (isNewState
                 && line.state().equals("failed")
                 && line.life().equals(liveProcessKeys.get(line.of()))
-                && !isExcused(nowUs, viewer)
-                && !isExcused(nowUs, line.of())) {
+                && !isExempt(nowUs, viewer)
+                && !isExempt(nowUs, line.of())) {
             recorder.recordViolation(
                     Invariant.MEMBER_FAILED,
                     nowUs,
@@ -156,8 +156,8 @@
         }
     }
 
-    private boolean isExcused(long nowUs, int node) {
-        return activeFaultCounts.getOrDefault(node, 0) > 0 || nowUs < excusedUntilUs.getOrDefault(node, 0L);
+    private boolean isExempt(long nowUs, int node) {
+        return activeFaultCounts.getOrDefault(node, 0) > 0 || nowUs < exemptUntilUs.getOrDefault(node, 0L);
     }
 
     /**
--- a/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
@@ -8,7 +8,7 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * Applies faults to nodes, servers and links, and notifies the checker of the violations that they excuse. Subclasses
+ * Applies faults to nodes, servers and links, and notifies the checker of the nodes that they exempt. Subclasses
  * act on the servers and links of a simulated run or of a run on real processes. All calls come from the run's single
  * thread.
  */
--- a/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/model/NodeHandle.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import tansypass.cluster.runtime.Scheduler;
-import tansypass.testbed.invariant.Excuse;
+import tansypass.testbed.invariant.Exemption;
 import tansypass.testbed.invariant.InvariantChecker;
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.Scenario.Fault;
@@ -25,8 +25,8 @@
 
     private final int number;
     private final LongSupplier nowUs;
-    private final Map<Fault, Excuse> linkExcuses = new HashMap<>();
-    private Optional<Excuse> pauseExcuse = Optional.empty();
+    private final Map<Fault, Exemption> linkExemptions = new HashMap<>();
+    private Optional<Exemption> pauseExemption = Optional.empty();
     private int generation;
 
     /**
@@ -97,24 +97,24 @@
         checker.membershipChecker().ifPresent(members -> members.faultChanged(number, begins, nowUs()));
     }
 
-    /** Excuses the node from now on because its link from the clients has a fault. */
+    /** Begins an exemption of the node, because its link from the clients has a fault. */
     final void clientLinkFaultBegan(Fault fault) {
-        linkExcuses.put(fault, checker.excuseNode(nowUs(), number));
+        linkExemptions.put(fault, checker.exemptNode(nowUs(), number));
     }
 
-    /** Ends the excuse for a link fault at {@code clearedUs}, when all data delayed by the fault is delivered. */
+    /** Ends the exemption for a link fault at {@code clearedUs}, when all data delayed by the fault is delivered. */
     final void clientLinkFaultEnded(Fault fault, long clearedUs) {
-        linkExcuses.remove(fault).end(clearedUs);
+        linkExemptions.remove(fault).end(clearedUs);
     }
 
-    /** Excuses the node from now on because its process is paused. */
-    protected final void beginPauseExcuse() {
-        pauseExcuse = Optional.of(checker.excuseNode(nowUs(), number));
+    /** Begins an exemption of the node, because its process is paused. */
+    protected final void beginPauseExemption() {
+        pauseExemption = Optional.of(checker.exemptNode(nowUs(), number));
     }
 
-    /** Ends the excuse for a paused process, if there is one. */
-    protected final void endPauseExcuse() {
-        pauseExcuse.ifPresent(excuse -> excuse.end(nowUs()));
+    /** Ends the exemption for a paused process, if there is one. */
+    protected final void endPauseExemption() {
+        pauseExemption.ifPresent(exemption -> exemption.end(nowUs()));
     }
 
     /** Schedules a kill of the present process, for the case that it has not ended in time after SIGTERM. */
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.transport.ClusterTransport;
-import tansypass.testbed.invariant.Excuse;
+import tansypass.testbed.invariant.Exemption;
 import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.NodeHandle;
@@ -156,15 +156,15 @@
         lastView = Optional.empty();
         isReady = false;
         clientLoadBalancer.nodeDied(number());
-        endExcuseWhenProcessExits(checker.excuseNode(nowUs(), number()));
+        endExemptionWhenProcessExits(checker.exemptNode(nowUs(), number()));
     }
 
-    /** Ends the excuse when the process has exited: until SIGKILL takes effect, clients may still connect. */
-    private void endExcuseWhenProcessExits(Excuse excuse) {
+    /** Ends the exemption when the process has exited: until SIGKILL takes effect, clients may still connect. */
+    private void endExemptionWhenProcessExits(Exemption exemption) {
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExcuseWhenProcessExits(excuse));
+            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExemptionWhenProcessExits(exemption));
         } else {
-            excuse.end(nowUs());
+            exemption.end(nowUs());
         }
     }
 
@@ -209,9 +209,9 @@
     public void setPaused(boolean paused) {
         process.setStopped(paused);
         if (paused) {
-            beginPauseExcuse();
+            beginPauseExemption();
         } else {
-            endPauseExcuse();
+            endPauseExemption();
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeHandle.java
@@ -139,9 +139,9 @@
         if (paused && isAlive() && !isPaused()) {
             process().setPaused(true);
             setMemberPaused(true);
-            beginPauseExcuse();
+            beginPauseExemption();
         } else if (!paused && isPaused()) {
-            endPauseExcuse();
+            endPauseExemption();
             process().setPaused(false);
             setMemberPaused(false);
         }
@@ -160,11 +160,11 @@
             return;
         }
         if (isPaused()) {
-            endPauseExcuse();
+            endPauseExemption();
         }
         int killedGeneration = generation();
         context.clientLoadBalancer.nodeDied(number());
-        checker.excuseNode(nowUs(), number()).end(nowUs());
+        checker.exemptNode(nowUs(), number()).end(nowUs());
         endProcess();
         context.clients.breakConnections(number(), killedGeneration);
     }
--- a/testbed/src/test/java/tansypass/testbed/invariant/InvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/InvariantCheckerTest.java
@@ -168,11 +168,11 @@
     }
 
     @Test
-    void excusesResponsesOfKilledAndPausedNodes() {
+    void exemptsKilledAndPausedNodesFromAnswering() {
         sendRequest(safe);
-        checker.excuseNode(US_PER_MS, 0).end(US_PER_MS);
+        checker.exemptNode(US_PER_MS, 0).end(US_PER_MS);
         checker.connectionBroken(US_PER_MS, "x", false);
-        checker.excuseNode(2 * US_PER_MS, 0).end(3_000 * US_PER_MS);
+        checker.exemptNode(2 * US_PER_MS, 0).end(3_000 * US_PER_MS);
         checker.requestSent(0, "y", safe, 0, 0, DEADLINE_US);
         checker.responseReceived(3_010 * US_PER_MS, "y", 504, "");
         assertViolations();
--- a/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/MembershipInvariantCheckerTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void excusesFailureDuringAndShortlyAfterFault() {
+    void toleratesFailureDuringAndShortlyAfterFault() {
         members.faultChanged(1, true, 0);
         changeView(US_PER_SECOND, "b", "failed", 0);
         members.faultChanged(1, false, 2 * US_PER_SECOND);
