--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -88,16 +88,17 @@
                         threads > 0 ? threads : Runtime.getRuntime().availableProcessors());
         PrintWriter out = spec.commandLine().getOut();
         out.printf(
-                "%s: %d schedules in %.1f s%n", scenario.name(), result.tried(), (System.nanoTime() - startNs) / 1e9);
+                "%s: %d schedules in %.1f s%n",
+                scenario.name(), result.triedCount(), (System.nanoTime() - startNs) / 1e9);
         if (json != null) {
             Files.writeString(json, toJson(scenario, result).toString());
         }
-        if (result.found().isEmpty()) {
+        if (result.finding().isEmpty()) {
             out.println("no rule was broken");
             out.flush();
             return Exit.OK;
         }
-        report(scenario, result.found().get(), out);
+        report(scenario, result.finding().get(), out);
         return Exit.NEGATIVE;
     }
 
@@ -105,10 +106,10 @@
     private void report(Scenario scenario, ScheduleExplorer.Finding found, PrintWriter out) throws IOException {
         Path kept = keptFile(scenario, found);
         Files.createDirectories(keep);
-        Files.writeString(kept, ScenarioToml.of(found.smallest()));
+        Files.writeString(kept, ScenarioToml.of(found.smallestScenario()));
         // Scripts read this line, as they do that of testbed run.
         out.println("RULE BROKEN " + found.violation());
-        for (Fault fault : found.smallest().faults()) {
+        for (Fault fault : found.smallestScenario().faults()) {
             out.println("  " + fault);
         }
         out.println("again with: ./tansypass testbed run " + kept + " --seed " + found.seed() + " --virtual");
@@ -137,8 +138,8 @@
         JsonObject summary = new JsonObject();
         summary.addProperty("scenario", scenario.name());
         summary.addProperty("first_seed", seed);
-        summary.addProperty("tried", result.tried());
-        result.found().ifPresent(found -> {
+        summary.addProperty("tried", result.triedCount());
+        result.finding().ifPresent(found -> {
             JsonObject violation = new JsonObject();
             violation.addProperty("rule", found.violation().invariant().name());
             violation.addProperty("at_us", found.violation().atUs());
--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -55,7 +55,7 @@
     void violatesNoInvariantUnderRandomFaults(String name) throws Exception {
         Optional<ScheduleExplorer.Finding> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
                 .explore(1, BUDGET_MS, MAX_SCHEDULES, Runtime.getRuntime().availableProcessors())
-                .found();
+                .finding();
         assertEquals(Optional.empty(), found);
     }
 
--- a/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
+++ b/testbed/src/main/java/tansypass/testbed/exploration/ScheduleExplorer.java
@@ -39,23 +39,23 @@
     /**
      * A violation that the search found.
      *
-     * @param smallest the scenario after shrinking, which still violates the same invariant
+     * @param smallestScenario the scenario after shrinking, which still violates the same invariant
      */
-    public record Finding(Scenario smallest, long seed, Violation violation) {}
+    public record Finding(Scenario smallestScenario, long seed, Violation violation) {}
 
     /**
      * The result of a search.
      *
-     * @param tried the number of schedules run, without those of the shrinking
+     * @param triedCount the number of schedules run, without those of the shrinking
      */
-    public record Result(int tried, Optional<Finding> found) {}
+    public record Result(int triedCount, Optional<Finding> finding) {}
 
     /** Creates an explorer that injects the scenario's own faults together with the random ones. */
     public ScheduleExplorer(Scenario baseScenario, Runner runner) {
-        this(baseScenario, runner, tried -> {});
+        this(baseScenario, runner, startedCount -> {});
     }
 
-    /** Creates an explorer; {@code progress} gets the number of schedules started so far, on any of the threads. */
+    /** Creates an explorer whose listener receives the number of schedules started so far, on any of the threads. */
     public ScheduleExplorer(Scenario baseScenario, Runner runner, IntConsumer progressListener) {
         this.baseScenario = baseScenario;
         this.runner = runner;
@@ -83,19 +83,20 @@
         } finally {
             pool.shutdownNow();
         }
-        return new Result(search.tried.get(), search.violatingSeed().map(seed -> shrink(addRandomFaults(seed), seed)));
+        return new Result(
+                search.triedCount.get(), search.violatingSeed().map(seed -> shrink(addRandomFaults(seed), seed)));
     }
 
     /** A search through a range of seeds, which several threads run at the same time. */
     private final class Search implements Runnable {
-        private static final long NONE = Long.MAX_VALUE;
+        private static final long NO_SEED = Long.MAX_VALUE;
 
         private final long endSeed;
         private final long endNs;
         private final AtomicLong nextSeed;
-        private final AtomicInteger tried = new AtomicInteger();
+        private final AtomicInteger triedCount = new AtomicInteger();
         /** The lowest seed with a violation, so that the result does not depend on which of two threads is first. */
-        private final AtomicLong violatingSeed = new AtomicLong(NONE);
+        private final AtomicLong violatingSeed = new AtomicLong(NO_SEED);
 
         Search(long firstSeed, long endSeed, long endNs) {
             this.endSeed = endSeed;
@@ -107,7 +108,7 @@
         public void run() {
             long seed = nextSeed.getAndIncrement();
             while (seed < endSeed && seed < violatingSeed.get() && System.nanoTime() < endNs) {
-                progressListener.accept(tried.incrementAndGet());
+                progressListener.accept(triedCount.incrementAndGet());
                 if (runner.run(addRandomFaults(seed), seed).violationCount() > 0) {
                     violatingSeed.accumulateAndGet(seed, Math::min);
                 }
@@ -117,7 +118,7 @@
 
         Optional<Long> violatingSeed() {
             long seed = violatingSeed.get();
-            return seed == NONE ? Optional.empty() : Optional.of(seed);
+            return seed == NO_SEED ? Optional.empty() : Optional.of(seed);
         }
     }
 
@@ -129,21 +130,21 @@
 
     private Finding shrink(Scenario violating, long seed) {
         Violation violation = runner.run(violating, seed).violations().get(0);
-        Scenario smallest = violating;
+        Scenario smallestScenario = violating;
         boolean hasShrunk = true;
         while (hasShrunk) {
             hasShrunk = false;
-            for (Scenario candidate : reductionsOf(smallest)) {
+            for (Scenario candidate : reductionsOf(smallestScenario)) {
                 Optional<Violation> sameViolation = findViolation(runner.run(candidate, seed), violation.invariant());
                 if (sameViolation.isPresent()) {
-                    smallest = candidate;
+                    smallestScenario = candidate;
                     violation = sameViolation.get();
                     hasShrunk = true;
                     break;
                 }
             }
         }
-        return new Finding(smallest, seed, violation);
+        return new Finding(smallestScenario, seed, violation);
     }
 
     private static Optional<Violation> findViolation(InvariantChecker checker, Invariant invariant) {
--- a/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
@@ -41,16 +41,16 @@
             throws InterruptedException {
         return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, maxRuns, 2)
-                .found();
+                .finding();
     }
 
     private static void assertFinds(Invariant invariant, NodeParts faultyParts) throws InterruptedException {
         ScheduleExplorer.Finding found = explore(faultyParts, MAX_RUNS)
                 .orElseThrow(() -> new AssertionError("no violation found in " + MAX_RUNS + " schedules"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
-        assertTrue(found.smallest().faults().size() <= 2, found.toString());
+        assertTrue(found.smallestScenario().faults().size() <= 2, found.toString());
         // Written to a file and read again, the scenario gives the same violation, and none with the product's parts.
-        Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
+        Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallestScenario()));
         InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faultyParts);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
         assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
@@ -166,7 +166,7 @@
                         .contains(found.violation().invariant()),
                 found.toString());
         List<Invariant> violatedInvariants = new ArrayList<>();
-        SimulationRun.run(found.smallest(), found.seed(), leaksConnections)
+        SimulationRun.run(found.smallestScenario(), found.seed(), leaksConnections)
                 .violations()
                 .forEach(violation -> violatedInvariants.add(violation.invariant()));
         assertTrue(
--- a/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/MembershipFaultsTest.java
@@ -36,15 +36,15 @@
     private static Optional<ScheduleExplorer.Finding> explore(NodeParts parts) throws InterruptedException {
         return new ScheduleExplorer(SCENARIO, (scenario, seed) -> SimulationRun.run(scenario, seed, parts))
                 .explore(1, BUDGET_MS, MAX_RUNS, 2)
-                .found();
+                .finding();
     }
 
     private static void assertFinds(Invariant invariant, NodeParts faultyParts) throws InterruptedException {
         ScheduleExplorer.Finding found = explore(faultyParts)
                 .orElseThrow(() -> new AssertionError("no violation found in " + MAX_RUNS + " schedules"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
-        assertTrue(found.smallest().faults().size() <= 1, found.toString());
-        Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallest()));
+        assertTrue(found.smallestScenario().faults().size() <= 1, found.toString());
+        Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallestScenario()));
         InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faultyParts);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
         assertEquals(List.of(), SimulationRun.run(reloaded, found.seed()).violations());
