--- a/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/ClusterSizeEstimator.java
@@ -17,10 +17,10 @@
         /**
          * Called when the counts have changed.
          *
-         * @param serving the number of nodes that are present and serve clients; 0 if this is unknown
-         * @param failed the number of nodes that served clients when they failed, and are not yet reaped
+         * @param servingCount the number of nodes that are present and serve clients; 0 if this is unknown
+         * @param failedCount the number of nodes that served clients when they failed, and are not yet reaped
          */
-        void onClusterSize(int serving, int failed);
+        void onClusterSize(int servingCount, int failedCount);
     }
 
     /** Creates an estimator that has counted no view. */
--- a/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/Dissemination.java
@@ -65,9 +65,9 @@
     }
 
     /** Notifies some random peers that this process leaves. */
-    void sendLeave(Member left) {
+    void sendLeave(Member leftEntry) {
         for (Member peer : state.randomPeers(LEAVE_FANOUT, "")) {
-            send(peer.identity().address(), new Message.Gossip(newEnvelope(Optional.of(left))));
+            send(peer.identity().address(), new Message.Gossip(newEnvelope(Optional.of(leftEntry))));
         }
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/MessageEncoder.java
@@ -24,15 +24,15 @@
      * it.
      */
     private interface FieldWriter {
-        void writeFields(JsonGenerator out) throws IOException;
+        void writeFields(JsonGenerator generator) throws IOException;
     }
 
     private byte[] encode(FieldWriter fieldWriter) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(MessageCodec.MAX_DATAGRAM_BYTES);
-        try (JsonGenerator out = factory.createGenerator(bytes)) {
-            out.writeStartObject();
-            fieldWriter.writeFields(out);
-            out.writeEndObject();
+        try (JsonGenerator generator = factory.createGenerator(bytes)) {
+            generator.writeStartObject();
+            fieldWriter.writeFields(generator);
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException("encoding a message in memory failed", e);
         }
@@ -40,18 +40,18 @@
     }
 
     byte[] encodeMessage(Message message) {
-        return encode(out -> {
-            out.writeStringField(WireKey.KIND, kindOf(message));
+        return encode(generator -> {
+            generator.writeStringField(WireKey.KIND, kindOf(message));
             if (message instanceof Message.Ping ping) {
-                writeProbe(out, ping.sequenceNumber(), ping.target());
+                writeProbe(generator, ping.sequenceNumber(), ping.target());
             } else if (message instanceof Message.PingRequest request) {
-                writeProbe(out, request.sequenceNumber(), request.target());
+                writeProbe(generator, request.sequenceNumber(), request.target());
             } else if (message instanceof Message.Ack ack) {
-                out.writeNumberField(WireKey.NUMBER, ack.sequenceNumber());
+                generator.writeNumberField(WireKey.NUMBER, ack.sequenceNumber());
             } else if (message instanceof Message.Nack nack) {
-                out.writeNumberField(WireKey.NUMBER, nack.sequenceNumber());
+                generator.writeNumberField(WireKey.NUMBER, nack.sequenceNumber());
             }
-            writeEnvelope(out, message.envelope());
+            writeEnvelope(generator, message.envelope());
         });
     }
 
@@ -59,81 +59,82 @@
         return message.getClass().getSimpleName();
     }
 
-    private static void writeProbe(JsonGenerator out, long sequenceNumber, String target) throws IOException {
-        out.writeNumberField(WireKey.NUMBER, sequenceNumber);
-        out.writeStringField(WireKey.TARGET, target);
+    private static void writeProbe(JsonGenerator generator, long sequenceNumber, String target) throws IOException {
+        generator.writeNumberField(WireKey.NUMBER, sequenceNumber);
+        generator.writeStringField(WireKey.TARGET, target);
     }
 
     /** Encodes a single member, in the form that it has in the updates of a message. */
     byte[] encodeMember(Member member) {
-        return encode(out -> writeMember(out, member));
+        return encode(generator -> writeMember(generator, member));
     }
 
     byte[] encodeView(Message.Envelope envelope) {
-        return encode(out -> writeEnvelope(out, envelope));
+        return encode(generator -> writeEnvelope(generator, envelope));
     }
 
-    private static void writeEnvelope(JsonGenerator out, Message.Envelope envelope) throws IOException {
-        out.writeStringField(WireKey.DEPLOYMENT, envelope.deployment());
-        out.writeNumberField(WireKey.PROTOCOL_VERSION, envelope.protocolVersion());
-        out.writeStringField(WireKey.SENDER, envelope.senderName());
-        out.writeNumberField(WireKey.SENDER_GENERATION, envelope.senderGeneration());
+    private static void writeEnvelope(JsonGenerator generator, Message.Envelope envelope) throws IOException {
+        generator.writeStringField(WireKey.DEPLOYMENT, envelope.deployment());
+        generator.writeNumberField(WireKey.PROTOCOL_VERSION, envelope.protocolVersion());
+        generator.writeStringField(WireKey.SENDER, envelope.senderName());
+        generator.writeNumberField(WireKey.SENDER_GENERATION, envelope.senderGeneration());
         if (!envelope.digest().isEmpty()) {
-            out.writeStringField(WireKey.DIGEST, envelope.digest());
+            generator.writeStringField(WireKey.DIGEST, envelope.digest());
         }
-        out.writeArrayFieldStart(WireKey.UPDATES);
+        generator.writeArrayFieldStart(WireKey.UPDATES);
         for (Member member : envelope.updates()) {
-            out.writeStartObject();
-            writeMember(out, member);
-            out.writeEndObject();
+            generator.writeStartObject();
+            writeMember(generator, member);
+            generator.writeEndObject();
         }
-        out.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static void writeMember(JsonGenerator out, Member member) throws IOException {
-        writeIdentity(out, member.identity());
-        out.writeStringField(WireKey.STATE, member.state().name().toLowerCase(Locale.ROOT));
-        out.writeNumberField(WireKey.INCARNATION, member.incarnation());
+    private static void writeMember(JsonGenerator generator, Member member) throws IOException {
+        writeIdentity(generator, member.identity());
+        generator.writeStringField(WireKey.STATE, member.state().name().toLowerCase(Locale.ROOT));
+        generator.writeNumberField(WireKey.INCARNATION, member.incarnation());
         if (!member.suspectedBy().isEmpty()) {
-            out.writeStringField(WireKey.SUSPECTED_BY, member.suspectedBy());
+            generator.writeStringField(WireKey.SUSPECTED_BY, member.suspectedBy());
         }
         if (member.isDraining()) {
-            out.writeBooleanField(WireKey.DRAINING, true);
+            generator.writeBooleanField(WireKey.DRAINING, true);
         }
     }
 
-    private static void writeIdentity(JsonGenerator out, Identity identity) throws IOException {
-        out.writeStringField(WireKey.NAME, identity.name());
-        out.writeNumberField(WireKey.GENERATION, identity.generation());
-        out.writeNumberField(WireKey.NONCE, identity.nonce());
-        out.writeStringField(WireKey.ZONE, identity.zone());
-        out.writeStringField(WireKey.ROLE, identity.role().name().toLowerCase(Locale.ROOT));
+    private static void writeIdentity(JsonGenerator generator, Identity identity) throws IOException {
+        generator.writeStringField(WireKey.NAME, identity.name());
+        generator.writeNumberField(WireKey.GENERATION, identity.generation());
+        generator.writeNumberField(WireKey.NONCE, identity.nonce());
+        generator.writeStringField(WireKey.ZONE, identity.zone());
+        generator.writeStringField(WireKey.ROLE, identity.role().name().toLowerCase(Locale.ROOT));
         String host = identity.address().getAddress().getHostAddress();
-        out.writeStringField(WireKey.ADDRESS, host + ":" + identity.address().getPort());
-        out.writeNumberField(WireKey.OLDEST_VERSION, identity.oldestVersion());
-        out.writeNumberField(WireKey.NEWEST_VERSION, identity.newestVersion());
+        generator.writeStringField(
+                WireKey.ADDRESS, host + ":" + identity.address().getPort());
+        generator.writeNumberField(WireKey.OLDEST_VERSION, identity.oldestVersion());
+        generator.writeNumberField(WireKey.NEWEST_VERSION, identity.newestVersion());
     }
 
     /** Encodes the view page. Scripts of operators read its keys and values. */
     byte[] encodeViewPage(Identity self, MembershipView view, boolean superseded, int healthMultiplier) {
-        return encode(out -> {
-            out.writeStringField("name", self.name());
-            out.writeStringField("deployment", self.deployment());
-            out.writeNumberField("version", view.version());
-            out.writeStringField("digest", view.digest());
-            out.writeStringField("standing", standingOf(view, superseded));
-            out.writeNumberField("health_factor", healthMultiplier);
-            out.writeNumberField("disagreed_ms", millisSince(view.lastAgreedUs(), view));
-            out.writeArrayFieldStart("members");
+        return encode(generator -> {
+            generator.writeStringField("name", self.name());
+            generator.writeStringField("deployment", self.deployment());
+            generator.writeNumberField("version", view.version());
+            generator.writeStringField("digest", view.digest());
+            generator.writeStringField("standing", standingOf(view, superseded));
+            generator.writeNumberField("health_factor", healthMultiplier);
+            generator.writeNumberField("disagreed_ms", millisSince(view.lastAgreedUs(), view));
+            generator.writeArrayFieldStart("members");
             for (Member member : view.members()) {
-                out.writeStartObject();
-                writeMember(out, member);
+                generator.writeStartObject();
+                writeMember(generator, member);
                 String name = member.identity().name();
                 long changedAtUs = view.changedAtUs().getOrDefault(name, view.takenAtUs());
-                out.writeNumberField("for_ms", millisSince(changedAtUs, view));
-                out.writeEndObject();
+                generator.writeNumberField("for_ms", millisSince(changedAtUs, view));
+                generator.writeEndObject();
             }
-            out.writeEndArray();
+            generator.writeEndArray();
         });
     }
 
--- a/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/SwimProtocol.java
@@ -77,9 +77,9 @@
         if (state.isStopped()) {
             return;
         }
-        Member left = state.selfAsLeft();
-        tableUpdater.adopt(left);
-        dissemination.sendLeave(left);
+        Member leftEntry = state.selfAsLeft();
+        tableUpdater.adopt(leftEntry);
+        dissemination.sendLeave(leftEntry);
         state.setStopped();
     }
 
--- a/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
+++ b/cluster/src/main/java/tansypass/cluster/transport/ClusterTransport.java
@@ -99,8 +99,8 @@
     }
 
     private ChannelFuture bindDatagrams(InetSocketAddress address, Handler handler) {
-        // The buffer has one byte more than a datagram may have. A longer datagram is truncated to that length, by
-        // which the codec still detects that it is too long.
+        // The buffer is one byte longer than the longest valid datagram. A longer datagram is truncated to the length
+        // of the buffer, and the codec rejects it because it is still too long.
         FixedRecvByteBufAllocator receiveBuffers = new FixedRecvByteBufAllocator(MessageCodec.MAX_DATAGRAM_BYTES + 1);
         return new Bootstrap()
                 .group(eventLoop)
