--- a/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
+++ b/testbed/src/main/java/tansypass/testbed/baseline/HeartbeatProtocol.java
@@ -127,8 +127,8 @@
 
     @Override
     public void leave() {
-        Member left = new Member(self, MemberState.LEFT, 0, "");
-        byte[] notice = codec.encode(new Message.Gossip(envelope(List.of(left))));
+        Member leftEntry = new Member(self, MemberState.LEFT, 0, "");
+        byte[] notice = codec.encode(new Message.Gossip(envelope(List.of(leftEntry))));
         members.values().forEach(member -> network.send(member.identity().address(), notice));
         isStopped = true;
     }
--- a/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/AttemptInvariants.java
@@ -51,13 +51,13 @@
         return requestClass.idempotency() != Idempotency.UNSAFE;
     }
 
-    private boolean isInScope(DeduplicationScope scope, int server, int other) {
+    private boolean isInScope(DeduplicationScope scope, int server, int otherServer) {
         return switch (scope) {
             case ALL -> true;
-            case ZONE -> scenario.zone(server).equals(scenario.zone(other));
+            case ZONE -> scenario.zone(server).equals(scenario.zone(otherServer));
             case CELL ->
                 server / scenario.servers().serversPerCell()
-                        == other / scenario.servers().serversPerCell();
+                        == otherServer / scenario.servers().serversPerCell();
         };
     }
 
--- a/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
@@ -16,17 +16,17 @@
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
 /**
- * Receives each event of a run once, checks the {@link Invariant}s and collects statistics. It is the same for runs in
- * virtual time and on real processes. Times are microseconds since the load began. Not thread-safe: all calls must
- * come from the run's single thread.
+ * Receives each event of a run once, checks the {@link Invariant}s and collects statistics. Runs in virtual time and
+ * runs on real processes use the same class. Times are microseconds since the load began. Not thread-safe: all calls
+ * must come from the run's single thread.
  */
 public final class InvariantChecker {
     private static final int STATUS_OK = 200;
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
     /**
-     * One in so many requests may fail because the node closed a new connection without reading it; more are a
-     * violation (STANDING).
+     * A node may close a new connection without reading it for one in this many requests; more are a violation
+     * (STANDING).
      */
     private static final int REQUESTS_PER_CLOSED_UNREAD = 200;
 
--- a/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultSchedule.java
@@ -59,11 +59,12 @@
         if (firstTarget.equals("discovery")) {
             target.setDiscoverySilent(begins);
         } else if (fault.kind().isLinkFault()) {
-            for (int secondEnd : matchingNumbers(scenario, fault.targets().get(1))) {
+            for (int secondNumber : matchingNumbers(scenario, fault.targets().get(1))) {
                 if (firstTarget.equals("clients")) {
-                    target.applyClientLinkFault(secondEnd, fault, begins);
+                    target.applyClientLinkFault(secondNumber, fault, begins);
                 } else {
-                    matchingNumbers(scenario, firstTarget).forEach(node -> applyToLink(node, secondEnd, fault, begins));
+                    matchingNumbers(scenario, firstTarget)
+                            .forEach(node -> applyToLink(node, secondNumber, fault, begins));
                 }
             }
         } else if (firstTarget.startsWith("node")) {
@@ -73,11 +74,11 @@
         }
     }
 
-    private void applyToLink(int node, int secondEnd, Fault fault, boolean begins) {
+    private void applyToLink(int node, int secondNumber, Fault fault, boolean begins) {
         if (!fault.isBetweenNodes()) {
-            target.applyServerLinkFault(node, secondEnd, fault, begins);
-        } else if (node != secondEnd) {
-            target.applyMemberLinkFault(node, secondEnd, fault, begins);
+            target.applyServerLinkFault(node, secondNumber, fault, begins);
+        } else if (node != secondNumber) {
+            target.applyMemberLinkFault(node, secondNumber, fault, begins);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/model/WebServer.java
+++ b/testbed/src/main/java/tansypass/testbed/model/WebServer.java
@@ -33,7 +33,7 @@
     private final Servers settings;
     private final Scheduler scheduler;
     private final UniformRandomProvider random;
-    private final ZigguratSampler.Exponential workFactor;
+    private final ZigguratSampler.Exponential workFactorSampler;
     private final Deque<Execution> queue = new ArrayDeque<>();
     private final Set<Execution> running = new HashSet<>();
     private final List<Runnable> deferredResponses = new ArrayList<>();
@@ -53,7 +53,7 @@
      */
     public record Response(int status, String body, Optional<String> loadReport, boolean isRejected) {}
 
-    /** The cached response to a keyed request, which its repeats get until {@code untilUs}. */
+    /** The cached response to a keyed request. Repeats of the request get this response until {@code untilUs}. */
     private record CachedResponse(String body, long untilUs) {}
 
     /** A request that is queued or being executed. */
@@ -90,7 +90,7 @@
         this.settings = settings;
         this.scheduler = scheduler;
         this.random = random;
-        workFactor = ZigguratSampler.Exponential.of(random);
+        workFactorSampler = ZigguratSampler.Exponential.of(random);
         startedUs = scheduler.nowUs() - settings.slowStartUs();
     }
 
@@ -126,7 +126,7 @@
      */
     public Execution serve(
             RequestClass requestClass, Optional<String> key, boolean isFirstOnConnection, Consumer<Response> handler) {
-        long workUs = Math.round(workFactor.sample() * requestClass.meanWorkUs())
+        long workUs = Math.round(workFactorSampler.sample() * requestClass.meanWorkUs())
                 + (isFirstOnConnection ? settings.handshakeWorkUs() : 0);
         Execution execution = new Execution(requestClass, key, workUs, handler);
         if (isDraining || (running.size() >= settings.cores() && queue.size() >= settings.maxQueued())) {
--- a/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
+++ b/testbed/src/main/java/tansypass/testbed/process/LoadGenerator.java
@@ -72,9 +72,9 @@
         openRequests.add(request);
         request.timeoutTimer =
                 scheduler.after(InvariantChecker.responseTimeoutAtUs(request.deadlineUs) - nowUs, request::timeOut);
-        Connection idle = idleConnections.poll();
-        if (idle != null) {
-            idle.send(request);
+        Connection idleConnection = idleConnections.poll();
+        if (idleConnection != null) {
+            idleConnection.send(request);
         } else {
             connect(request);
         }
@@ -100,7 +100,7 @@
 
     /** Closes the idle connections. */
     void close() {
-        idleConnections.forEach(idle -> idle.channel.close());
+        idleConnections.forEach(connection -> connection.channel.close());
         idleConnections.clear();
     }
 
@@ -163,17 +163,17 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
         private OpenRequest request;
-        /** Whether the connection has had a response, so that a later request uses an idle connection. */
+        /** True after the first response. Every later request on this connection is sent on an idle connection. */
         private boolean hasResponded;
 
         void init(SocketChannel newChannel) {
             newChannel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), this);
         }
 
-        void send(OpenRequest next) {
-            request = next;
-            next.connection = this;
-            channel.writeAndFlush(next.toHttpRequest());
+        void send(OpenRequest nextRequest) {
+            request = nextRequest;
+            nextRequest.connection = this;
+            channel.writeAndFlush(nextRequest.toHttpRequest());
         }
 
         @Override
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -74,13 +74,13 @@
     void applyFault(int first, int second, Fault fault, boolean begins) {
         linkMatrix.apply(first, second, fault, begins);
         if (!fault.kind().affectsOnlyDatagrams()) {
-            relay(first, second).applyFault(fault, begins);
-            relay(second, first)
+            findOrCreateRelay(first, second).applyFault(fault, begins);
+            findOrCreateRelay(second, first)
                     .applyFault(fault.withDirection(fault.direction().reversed()), begins);
         }
     }
 
-    private Relay relay(int from, int to) {
+    private Relay findOrCreateRelay(int from, int to) {
         return relays.computeIfAbsent(
                 from + ">" + to,
                 name -> new Relay(
@@ -95,7 +95,7 @@
         if (from == null) {
             channel.close();
         } else {
-            relay(from, to).accept(channel);
+            findOrCreateRelay(from, to).accept(channel);
         }
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -33,7 +33,7 @@
     private Optional<MembershipSnapshot> lastView = Optional.empty();
 
     private boolean isReady;
-    /** Whether a fault has ended the process and the process has not been started again. */
+    /** True from the time at which a fault ends the process until a new process is started. */
     private boolean isEndedByFault;
 
     ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator loopback) {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
@@ -36,7 +36,7 @@
     final Map<Integer, Relay> clientLinks = new TreeMap<>();
 
     private final CompletableFuture<Void> completion = new CompletableFuture<>();
-    /** The links between nodes; empty if no fault affects them, so that nodes exchange messages directly. */
+    /** The links between nodes; empty if no fault affects them. In that case nodes exchange messages directly. */
     private Optional<MembershipLinks> memberLinks = Optional.empty();
 
     ProcessRunContext(Scenario scenario, long seed, EventLoop loop) {
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -115,7 +115,7 @@
         });
     }
 
-    /** Relays a connection. Called by the relay's own listener, or by another one if {@link #start} was not called. */
+    /** Relays an accepted connection. If {@link #start} was not called, another listener accepts the connections. */
     void accept(SocketChannel channel) {
         if (linkState.isReset()) {
             Channels.closeWithReset(channel);
--- a/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayConnection.java
@@ -60,8 +60,8 @@
     private void startRelaying(Channel targetChannel) {
         RelayPipe toTarget = new RelayPipe(scheduler, linkState, acceptedChannel, targetChannel, Direction.THERE);
         RelayPipe fromTarget = new RelayPipe(scheduler, linkState, targetChannel, acceptedChannel, Direction.BACK);
-        toTarget.setReverse(fromTarget);
-        fromTarget.setReverse(toTarget);
+        toTarget.setReversePipe(fromTarget);
+        fromTarget.setReversePipe(toTarget);
         targetSide = Optional.of(new TargetSide(targetChannel, toTarget, fromTarget));
         targetChannel.closeFuture().addListener(closed -> removeIfClosed());
         acceptedChannel.pipeline().addLast(toTarget);
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -45,7 +45,7 @@
     }
 
     /** Sets the pipe of the other direction. */
-    void setReverse(RelayPipe pipe) {
+    void setReversePipe(RelayPipe pipe) {
         reversePipe = pipe;
     }
 
--- a/testbed/src/main/java/tansypass/testbed/process/ResourceCheck.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ResourceCheck.java
@@ -55,7 +55,7 @@
                     .findFirst()
                     .orElse(Long.MAX_VALUE);
         } catch (IOException e) {
-            // A system without /proc/meminfo: if memory is too small, the nodes fail to start.
+            // This system has no /proc/meminfo, so memory is not checked. If it is too small, the nodes fail to start.
             return Long.MAX_VALUE;
         }
     }
--- a/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
+++ b/testbed/src/main/java/tansypass/testbed/process/TestbedBenchmark.java
@@ -31,7 +31,7 @@
     private TestbedBenchmark() {}
 
     /**
-     * Measures each figure {@code runs} times, alternately, and returns medians, minima and maxima as text.
+     * Measures all figures in turn, {@code runs} times each, and returns medians, minima and maxima as text.
      *
      * @throws BenchmarkException if a measurement fails or takes too long
      * @throws IOException if a socket can't be opened
--- a/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
+++ b/testbed/src/main/java/tansypass/testbed/report/ClusterPlot.java
@@ -68,14 +68,14 @@
     }
 
     private static XYPlot createPlot(
-            List<Row> rows, String figure, String label, List<String> kinds, boolean inLegend) {
+            List<Row> rows, String figure, String label, List<String> kinds, boolean showInLegend) {
         XYSeriesCollection data = new XYSeriesCollection();
         for (String kind : kinds) {
             addSeries(data, rows, figure, kind);
         }
         NumberAxis axis = new NumberAxis(label);
         axis.setLabelFont(new Font(Font.SANS_SERIF, Font.PLAIN, LABEL_FONT_SIZE));
-        XYPlot plot = new XYPlot(data, null, axis, createRenderer(kinds.size(), inLegend));
+        XYPlot plot = new XYPlot(data, null, axis, createRenderer(kinds.size(), showInLegend));
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         return plot;
@@ -98,7 +98,7 @@
      * Creates a renderer whose curves can be distinguished in black and white: protocols by shade, medians and worst
      * values by dashes.
      */
-    private static XYLineAndShapeRenderer createRenderer(int kindCount, boolean inLegend) {
+    private static XYLineAndShapeRenderer createRenderer(int kindCount, boolean showInLegend) {
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, true);
         BasicStroke dashed = new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_MITER, 1, DASH_LENGTHS, 0);
         for (int kind = 0; kind < kindCount; kind++) {
@@ -110,7 +110,7 @@
             renderer.setSeriesStroke(median, new BasicStroke(2));
             renderer.setSeriesStroke(worst, dashed);
         }
-        renderer.setDefaultSeriesVisibleInLegend(inLegend);
+        renderer.setDefaultSeriesVisibleInLegend(showInLegend);
         return renderer;
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetrics.java
@@ -57,49 +57,55 @@
         return List.copyOf(PROTOCOL_FACTORIES.keySet());
     }
 
-    /** Adds a row for each {@link MembershipFigure} of one protocol and cluster size, over seeds 1 to {@code seeds}. */
-    public void measure(String protocol, int count, double loss, int seeds, int threads) throws InterruptedException {
+    /**
+     * Adds a row for each {@link MembershipFigure} of one protocol and cluster size, over seeds 1 to {@code seedCount}.
+     */
+    public void measure(String protocol, int memberCount, double lossRate, int seedCount, int threads)
+            throws InterruptedException {
         List<Map<MembershipFigure, Double>> trials = runSeeds(
-                seeds, threads, seed -> ConvergenceTrial.run(PROTOCOL_FACTORIES.get(protocol), count, loss, seed));
+                seedCount,
+                threads,
+                seed -> ConvergenceTrial.run(PROTOCOL_FACTORIES.get(protocol), memberCount, lossRate, seed));
         for (MembershipFigure figure : MembershipFigure.values()) {
             List<Double> values =
                     trials.stream().map(trial -> trial.get(figure)).toList();
-            addRow(protocol, count, loss, figure.reportName(), values);
+            addRow(protocol, memberCount, lossRate, figure.reportName(), values);
         }
     }
 
     /**
-     * Adds rows for the false positives in an hour of one protocol and cluster size, over the seeds 1 to {@code seeds}.
+     * Adds rows for the false positives in an hour of one protocol and cluster size, over seeds 1 to {@code seedCount}.
      *
      * @param withPauses whether a tenth of the members is repeatedly paused for 1 to 3 s
      */
     public void measureFalsePositives(
-            String protocol, int count, double loss, boolean withPauses, int seeds, int threads)
+            String protocol, int memberCount, double lossRate, boolean withPauses, int seedCount, int threads)
             throws InterruptedException {
         List<Result> trials = runSeeds(
-                seeds,
+                seedCount,
                 threads,
-                seed -> FalsePositiveTrial.run(PROTOCOL_FACTORIES.get(protocol), count, loss, withPauses, seed));
+                seed -> FalsePositiveTrial.run(
+                        PROTOCOL_FACTORIES.get(protocol), memberCount, lossRate, withPauses, seed));
         if (withPauses) {
             addRow(
                     protocol,
-                    count,
-                    loss,
+                    memberCount,
+                    lossRate,
                     FALSE_POSITIVES + ", of those that stand still",
                     valuesOf(trials, Result::ofPausedMembers));
         }
         String suffix = withPauses ? ", of the others" : "";
-        addRow(protocol, count, loss, FALSE_POSITIVES + suffix, valuesOf(trials, Result::ofOtherMembers));
+        addRow(protocol, memberCount, lossRate, FALSE_POSITIVES + suffix, valuesOf(trials, Result::ofOtherMembers));
     }
 
     private static List<Double> valuesOf(List<Result> trials, ToLongFunction<Result> figure) {
         return trials.stream().map(trial -> (double) figure.applyAsLong(trial)).toList();
     }
 
-    private static <T> List<T> runSeeds(int seeds, int threads, LongFunction<T> trial) throws InterruptedException {
+    private static <T> List<T> runSeeds(int seedCount, int threads, LongFunction<T> trial) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<T>> futures = LongStream.rangeClosed(1, seeds)
+            List<Future<T>> futures = LongStream.rangeClosed(1, seedCount)
                     .mapToObj(seed -> pool.submit(() -> trial.apply(seed)))
                     .toList();
             List<T> results = new ArrayList<>();
@@ -114,7 +120,7 @@
         }
     }
 
-    private void addRow(String protocol, int count, double loss, String figure, List<Double> values) {
+    private void addRow(String protocol, int memberCount, double lossRate, String figure, List<Double> values) {
         double[] reached = values.stream()
                 .mapToDouble(Double::doubleValue)
                 .filter(value -> value != ConvergenceTrial.NEVER)
@@ -122,8 +128,8 @@
         boolean isNeverReached = reached.length == 0;
         rows.add(new Row(
                 protocol,
-                count,
-                loss,
+                memberCount,
+                lossRate,
                 figure,
                 isNeverReached ? ConvergenceTrial.NEVER : StatUtils.percentile(reached, MEDIAN_PERCENTILE),
                 isNeverReached ? ConvergenceTrial.NEVER : StatUtils.max(reached),
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedCluster.java
@@ -154,7 +154,7 @@
         members.get(number).process().setPaused(paused);
     }
 
-    /** Sets the filter that blocks links, such as for a partition; faults act in addition. */
+    /** Sets the filter that blocks links in addition to the faults, for example to simulate a partition. */
     public void setLinkFilter(LinkMatrix.Filter filter) {
         network.setLinkFilter(filter);
     }
@@ -206,12 +206,12 @@
 
     /** Returns whether all members that are up have equal views, in which exactly these members are present. */
     public boolean hasConverged() {
-        List<SimulatedMember> up =
+        List<SimulatedMember> upMembers =
                 members.stream().filter(SimulatedMember::isUp).toList();
-        MembershipView first = up.get(0).membership().view();
-        return up.stream()
-                        .allMatch(member -> member.membership().view().digest().equals(first.digest()))
-                && first.members().stream().filter(Member::isPresent).count() == up.size();
+        MembershipView firstView = upMembers.get(0).membership().view();
+        return upMembers.stream()
+                        .allMatch(member -> member.membership().view().digest().equals(firstView.digest()))
+                && firstView.members().stream().filter(Member::isPresent).count() == upMembers.size();
     }
 
     /** Returns the present virtual time, in microseconds. */
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClusterNetwork.java
@@ -50,7 +50,7 @@
         return new Endpoint(member);
     }
 
-    /** Sets the filter that blocks links, such as for a partition; faults act in addition. */
+    /** Sets the filter that blocks links in addition to the faults, for example to simulate a partition. */
     void setLinkFilter(LinkMatrix.Filter filter) {
         links.setFilter(filter);
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedMembership.java
@@ -72,8 +72,8 @@
 
     /** Starts a member, which joins through the first nodes of the scenario. */
     void start(int number) {
-        int seeds = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
-        cluster.start(number, IntStream.range(0, seeds).boxed().toList(), 0, DEPLOYMENT);
+        int seedCount = Math.min(Scenario.SEED_MEMBERS, context.nodes.size());
+        cluster.start(number, IntStream.range(0, seedCount).boxed().toList(), 0, DEPLOYMENT);
         checker.setLiveProcess(number, liveProcessKey(number));
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNode.java
@@ -137,8 +137,8 @@
     }
 
     /** Called when the estimated number of nodes has changed; see {@link LoadBalancer#onClusterSize}. */
-    void onClusterSize(int present, int lost) {
-        balancerExecutor.execute(() -> balancer.onClusterSize(scheduler.nowUs(), present, lost));
+    void onClusterSize(int presentNodes, int lostNodes) {
+        balancerExecutor.execute(() -> balancer.onClusterSize(scheduler.nowUs(), presentNodes, lostNodes));
     }
 
     /** Returns the number of requests in flight. */
@@ -203,7 +203,7 @@
     }
 
     @Override
-    public void onNoServerReady(int listed) {
+    public void onNoServerReady(int listedServers) {
         // Only real nodes write a log.
     }
 
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedProcess.java
@@ -31,7 +31,7 @@
         return pendingEvents.size();
     }
 
-    /** Runs an event at once; keeps it until the process is resumed, if paused; drops it, if the process is dead. */
+    /** Runs an event now. While the process is paused, the event waits until the resume; a dead process drops it. */
     void deliver(Runnable event) {
         if (isPaused) {
             pendingEvents.add(event);
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedRequest.java
@@ -15,7 +15,7 @@
     private int attemptsInFlight;
     private boolean isOver;
 
-    /** Creates a request whose attempts end at {@code deadlineUs}; {@link #setDeadlineTimer} has to follow. */
+    /** Creates a request whose attempts end at {@code deadlineUs}. Call {@link #setDeadlineTimer} next. */
     SimulatedRequest(SimulatedNode node, long id, long deadlineUs) {
         this.node = node;
         this.id = id;
--- a/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/ChildProcessReaperTest.java
@@ -14,24 +14,24 @@
     @Test
     void killsStoppedChildButNotDeregisteredOne() throws Exception {
         Process stopped = new ProcessBuilder("sleep", "1000").start();
-        Process other = new ProcessBuilder("sleep", "1000").start();
+        Process deregistered = new ProcessBuilder("sleep", "1000").start();
         try {
             try (ChildProcessReaper reaper = new ChildProcessReaper()) {
                 reaper.register(stopped.pid());
-                reaper.register(other.pid());
+                reaper.register(deregistered.pid());
                 assertEquals(
                         0,
                         new ProcessBuilder("kill", "-STOP", Long.toString(stopped.pid()))
                                 .start()
                                 .waitFor());
-                reaper.deregister(other.pid());
+                reaper.deregister(deregistered.pid());
             }
             assertEquals(EXIT_CODE_OF_SIGKILL, stopped.waitFor());
-            assertTrue(other.isAlive());
+            assertTrue(deregistered.isAlive());
         } finally {
-            other.destroyForcibly();
+            deregistered.destroyForcibly();
             stopped.destroyForcibly();
-            assertTrue(other.waitFor(20, TimeUnit.SECONDS));
+            assertTrue(deregistered.waitFor(20, TimeUnit.SECONDS));
         }
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
+++ b/testbed/src/test/java/tansypass/testbed/process/RelayTest.java
@@ -59,8 +59,8 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
     }
 
-    private static Fault fault(Kind kind, FaultDirection way) {
-        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), way, 0, 0);
+    private static Fault fault(Kind kind, FaultDirection direction) {
+        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), direction, 0, 0);
     }
 
     private void applyFault(Fault fault, boolean begins) throws Exception {
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipFailureDetectionTest.java
@@ -35,7 +35,7 @@
         SimulatedCluster cluster = startCluster(3, 40);
         cluster.setLossRate(0.3);
         cluster.run(300 * SECOND_US);
-        assertEquals(0, failures(cluster, 40));
+        assertEquals(0, failureCount(cluster, 40));
         cluster.setLossRate(0);
         assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0);
         assertNoAnomalies();
@@ -48,7 +48,7 @@
         cluster.run(200 * SECOND_US);
         cluster.setLinkFilter((from, to) -> (from + to) % 7 != 0 || cluster.nowUs() / SECOND_US % 2 == 0);
         cluster.run(200 * SECOND_US);
-        assertEquals(0, failures(cluster, 20));
+        assertEquals(0, failureCount(cluster, 20));
         assertNoAnomalies();
     }
 
@@ -59,10 +59,10 @@
         cluster.run(3 * SECOND_US);
         IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, false));
         assertTrue(cluster.runUntilConverged(30 * SECOND_US) >= 0);
-        assertEquals(0, failures(cluster, 50));
+        assertEquals(0, failureCount(cluster, 50));
         IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, true));
         cluster.run(30 * SECOND_US);
-        assertTrue(failures(cluster, 50) > 0, "a pause of 30 s was not detected");
+        assertTrue(failureCount(cluster, 50) > 0, "a pause of 30 s was not detected");
         IntStream.range(10, 15).forEach(i -> cluster.setPaused(i, false));
         assertTrue(cluster.runUntilConverged(60 * SECOND_US) >= 0, "resumed members are not present in all views");
         assertEquals(
@@ -80,7 +80,7 @@
             cluster.setPaused(5, false);
             cluster.run(100_000);
         }
-        assertEquals(0, failures(cluster, 20));
+        assertEquals(0, failureCount(cluster, 20));
         assertNoAnomalies();
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipJoinTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipJoinTest.java
@@ -21,7 +21,7 @@
         assertTrue(elapsedUs >= 0, "node-9 is still present after 10 s");
         cluster.run(120 * SECOND_US);
         assertEquals(MemberState.LEFT, state(cluster, 30, "node-9"));
-        assertEquals(0, failures(cluster, 50));
+        assertEquals(0, failureCount(cluster, 50));
         assertNoAnomalies();
     }
 
@@ -82,7 +82,7 @@
         cluster.startAll();
         long elapsedUs = cluster.runUntilConverged(120 * SECOND_US);
         assertTrue(elapsedUs >= 0, "views are not equal after 120 s");
-        assertEquals(0, failures(cluster, 200));
+        assertEquals(0, failureCount(cluster, 200));
         assertNoAnomalies();
     }
 
--- a/testbed/src/test/java/tansypass/testbed/simulation/MembershipTestCase.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/MembershipTestCase.java
@@ -60,7 +60,7 @@
     }
 
     /** Returns the number of times that the running members have declared others failed. */
-    static long failures(SimulatedCluster cluster, int count) {
+    static long failureCount(SimulatedCluster cluster, int count) {
         return IntStream.range(0, count)
                 .filter(cluster::isUp)
                 .mapToLong(i -> cluster.swimProtocol(i).counters().get(MembershipCounters.Name.FAILED))
--- a/testbed/src/test/java/tansypass/testbed/simulation/ViewAnomalyRecorder.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ViewAnomalyRecorder.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Returns whether the previous entry forbids that an update of this incarnation makes the member present again. */
+    /** Returns whether the entry must not make the member present again after the previous entry of its process. */
     private static boolean forbidsReturn(Member previous, Member entry) {
         return previous.state() == MemberState.LEFT
                 || (previous.state() == MemberState.FAILED && entry.incarnation() <= previous.incarnation());
