--- a/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
+++ b/cluster/src/main/java/tansypass/cluster/membership/IncarnationGuard.java
@@ -10,7 +10,7 @@
 final class IncarnationGuard {
     /** The interval at which a superseded process checks whether the other process of its name still responds. */
     private static final long CONFLICT_CHECK_INTERVAL_US = 30_000_000;
-    /** The time that the other process of the same name has to respond, in protocol periods. */
+    /** The time within which the other process of the same name must respond, in protocol periods. */
     private static final int CONFLICT_PING_PERIODS = 2;
 
     private final ProtocolState state;
--- a/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
+++ b/testbed/src/main/java/tansypass/testbed/model/MembershipAgreement.java
@@ -23,7 +23,7 @@
                 .ifPresent(members -> members.checkAgreement(nowUs, presentMembersByViewer(nodes)));
     }
 
-    /** Returns, by node that is up, the nodes that are present in its view. */
+    /** Returns for each node that is up the numbers of the nodes that are present in its view. */
     private static Map<Integer, Set<Integer>> presentMembersByViewer(List<? extends NodeHandle> nodes) {
         Map<Integer, Set<Integer>> present = new TreeMap<>();
         for (NodeHandle node : nodes) {
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipSnapshot.java
@@ -14,7 +14,7 @@
  * A node's membership view, as its view page shows it.
  *
  * @param ownProcessKey the key of the node's current process: its generation and nonce, as the node itself lists them
- * @param unchangedUsByLine the entries of the view, and for how many microseconds each has not changed
+ * @param unchangedUsByLine the entries of the view, and the time since the last change of each, in microseconds
  */
 record MembershipSnapshot(String ownProcessKey, Map<Line, Long> unchangedUsByLine) {
 
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -11,11 +11,11 @@
 
 /** A node of a run on real processes: its addresses, its clients and its current process. */
 final class ProcessNodeHandle extends NodeHandle {
-    /** The least interval at which a node's readiness is polled; it grows with the number of nodes. */
+    /** The minimum interval between polls of a node's readiness. The interval is longer if the run has many nodes. */
     private static final long READY_POLL_INTERVAL_US = 100_000;
 
     private static final long READY_POLL_INTERVAL_PER_NODE_US = 10_000;
-    /** The least interval at which a node's membership view is polled; it grows with the number of nodes. */
+    /** The minimum interval between polls of a node's view. The interval is longer if the run has many nodes. */
     private static final long VIEW_POLL_INTERVAL_US = 200_000;
 
     private static final long VIEW_POLL_INTERVAL_PER_NODE_US = 20_000;
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -54,7 +54,7 @@
         return address;
     }
 
-    /** Returns in how many microseconds all bytes that are in transit now will have been delivered. */
+    /** Returns the time until all bytes that are now in transit are delivered, in microseconds. */
     long remainingTransitUs() {
         return Math.max(0, linkState.busyUntilUs() - scheduler.nowUs());
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/InFlightMessage.java
@@ -34,7 +34,7 @@
             SimulatedServer server,
             LinkState link,
             SimulatedProcess senderProcess,
-            long request,
+            long requestId,
             boolean isFirstOnConnection,
             SimulatedNetwork.Callback callback) {
         this.context = context;
@@ -43,7 +43,7 @@
         this.server = server;
         this.link = link;
         this.senderProcess = senderProcess;
-        id = HexFormat.of().toHexDigits(request);
+        id = HexFormat.of().toHexDigits(requestId);
         this.isFirstOnConnection = isFirstOnConnection;
         this.callback = callback;
     }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
@@ -59,7 +59,7 @@
         });
     }
 
-    private void send(RequestClass requestClass, long request, long intendedUs) {
+    private void send(RequestClass requestClass, long requestId, long intendedUs) {
         int number = context.clientLoadBalancer.selectNode();
         if (number == ClientLoadBalancer.NO_NODE
                 || waitingClients.size() >= context.scenario.clients().maxOpenRequests()) {
@@ -68,7 +68,7 @@
         }
         SimulatedNodeHandle node = context.nodes.get(number);
         LinkState link = node.network().clientLink();
-        String id = HexFormat.of().toHexDigits(request);
+        String id = HexFormat.of().toHexDigits(requestId);
         long deadlineUs = context.nowUs() + requestClass.deadlineUs();
         checker.requestSent(context.nowUs(), id, requestClass, number, intendedUs, deadlineUs);
         if (!node.isAlive() || link.isReset()) {
@@ -84,13 +84,13 @@
             SimulatedProcess receiver = node.process();
             context.queue.after(
                     dueUs - context.nowUs(),
-                    () -> receiver.deliver(() -> deliver(node, requestClass, request, deadlineUs)));
+                    () -> receiver.deliver(() -> deliver(node, requestClass, requestId, deadlineUs)));
         }
     }
 
-    private void deliver(SimulatedNodeHandle node, RequestClass requestClass, long request, long deadlineUs) {
+    private void deliver(SimulatedNodeHandle node, RequestClass requestClass, long requestId, long deadlineUs) {
         int classIndex = context.scenario.classes().indexOf(requestClass);
-        node.node().onRequest(request, classIndex, Math.max(0, deadlineUs - context.nowUs()));
+        node.node().onRequest(requestId, classIndex, Math.max(0, deadlineUs - context.nowUs()));
     }
 
     private void timeOut(Client client) {
@@ -101,8 +101,8 @@
     }
 
     /** Delivers a response to its client, or drops it if the client no longer waits. */
-    void receive(long request, int status, String body) {
-        String id = HexFormat.of().toHexDigits(request);
+    void receive(long requestId, int status, String body) {
+        String id = HexFormat.of().toHexDigits(requestId);
         if (waitingClients.remove(id) != null) {
             checker.responseReceived(context.nowUs(), id, status, body);
         }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedConnectionPool.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedConnectionPool.java
@@ -25,12 +25,12 @@
 
     /**
      * Takes the most recently used idle connection to a server and returns true, or returns false if there is none.
-     * Expired connections that it meets are closed.
+     * Closes the expired connections that it finds.
      */
     boolean acquire(String server) {
-        Deque<Long> idle = releaseTimesUs.getOrDefault(server, new ArrayDeque<>());
-        while (!idle.isEmpty()) {
-            if (!isExpired(idle.pop())) {
+        Deque<Long> serverReleaseTimesUs = releaseTimesUs.getOrDefault(server, new ArrayDeque<>());
+        while (!serverReleaseTimesUs.isEmpty()) {
+            if (!isExpired(serverReleaseTimesUs.pop())) {
                 return true;
             }
             network.closeIdleConnection(server);
@@ -59,6 +59,7 @@
     /** Closes all idle connections and keeps none that is released later. */
     void close() {
         isClosed = true;
-        releaseTimesUs.forEach((server, idle) -> idle.forEach(releasedUs -> network.closeIdleConnection(server)));
+        releaseTimesUs.forEach((server, serverReleaseTimesUs) ->
+                serverReleaseTimesUs.forEach(releasedUs -> network.closeIdleConnection(server)));
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNetwork.java
@@ -11,13 +11,13 @@
     void connect(String server, Callback callback);
 
     /** Writes a request on a connection to a server. */
-    OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback);
+    OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback);
 
     /** Closes an idle connection to a server. */
     void closeIdleConnection(String server);
 
     /** Sends the final response to a client. */
-    void respond(long request, int status, String body);
+    void respond(long requestId, int status, String body);
 
     /** Reports an exception that a call of the balancer threw. A real node survives it, but it is always a bug. */
     void balancerFailed(RuntimeException exception);
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedNodeNetwork.java
@@ -60,14 +60,14 @@
     }
 
     @Override
-    public OutboundRequest send(String serverName, long request, boolean isFirstOnConnection, Callback callback) {
+    public OutboundRequest send(String serverName, long requestId, boolean isFirstOnConnection, Callback callback) {
         SimulatedServer server = context.server(serverName);
         InFlightMessage message = new InFlightMessage(
                 context,
                 server,
                 serverLinks.get(server.number()),
                 node.process(),
-                request,
+                requestId,
                 isFirstOnConnection,
                 callback);
         message.start();
@@ -80,12 +80,12 @@
     }
 
     @Override
-    public void respond(long request, int status, String body) {
+    public void respond(long requestId, int status, String body) {
         if (clientLink.isCut(Direction.BACK)) {
             return;
         }
         long dueUs = clientLink.streamDueUs(Direction.BACK, context.nowUs(), MESSAGE_BYTES);
-        context.queue.after(dueUs - context.nowUs(), () -> context.clients.receive(request, status, body));
+        context.queue.after(dueUs - context.nowUs(), () -> context.clients.receive(requestId, status, body));
     }
 
     @Override
--- a/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
@@ -99,19 +99,19 @@
             private final Set<Long> resetRequests = new HashSet<>();
 
             @Override
-            public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
-                return super.send(server, request, isFirstOnConnection, (result, status, body) -> {
+            public OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback) {
+                return super.send(server, requestId, isFirstOnConnection, (result, status, body) -> {
                     if (result == AttemptResult.RESET) {
-                        resetRequests.add(request);
+                        resetRequests.add(requestId);
                     }
                     callback.onComplete(result, status, body);
                 });
             }
 
             @Override
-            public void respond(long request, int status, String body) {
-                if (!resetRequests.contains(request)) {
-                    super.respond(request, status, body);
+            public void respond(long requestId, int status, String body) {
+                if (!resetRequests.contains(requestId)) {
+                    super.respond(requestId, status, body);
                 }
             }
         };
@@ -122,8 +122,8 @@
     void findsInventedResponseAfterError() throws InterruptedException {
         FaultyNetwork inventsResponses = network -> new ForwardingNetwork(network) {
             @Override
-            public void respond(long request, int status, String body) {
-                super.respond(request, status == 502 ? 200 : status, body);
+            public void respond(long requestId, int status, String body) {
+                super.respond(requestId, status == 502 ? 200 : status, body);
             }
         };
         assertFinds(Invariant.INVENTED_ANSWER, inventsResponses);
@@ -153,8 +153,8 @@
     void findsConnectionLeakAfterCancelledAttempt() throws InterruptedException {
         FaultyNetwork leaksConnections = network -> new ForwardingNetwork(network) {
             @Override
-            public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
-                super.send(server, request, isFirstOnConnection, callback);
+            public OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback) {
+                super.send(server, requestId, isFirstOnConnection, callback);
                 return () -> {};
             }
         };
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
-        return delegate.send(server, request, isFirstOnConnection, callback);
+    public OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback) {
+        return delegate.send(server, requestId, isFirstOnConnection, callback);
     }
 
     @Override
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public void respond(long request, int status, String body) {
-        delegate.respond(request, status, body);
+    public void respond(long requestId, int status, String body) {
+        delegate.respond(requestId, status, body);
     }
 
     @Override
--- a/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/TraceHashTest.java
@@ -40,7 +40,7 @@
  */
 class TraceHashTest {
     private static final int SEEDS = 10;
-    /** Scenarios that take seconds to run, while others take a tenth of a second; these run with one seed only. */
+    /** Scenarios that run with one seed only, because a run takes seconds; other runs take a tenth of a second. */
     private static final Set<String> LARGE_SCENARIOS = Set.of("members-20", "members-50");
 
     private static final String HASHES_FILE = "trace-hashes.txt";
@@ -92,15 +92,15 @@
         }
 
         @Override
-        public OutboundRequest send(String server, long request, boolean isFirstOnConnection, Callback callback) {
-            super.send(server, request, isFirstOnConnection, callback);
-            return super.send(server, request, isFirstOnConnection, callback);
+        public OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback) {
+            super.send(server, requestId, isFirstOnConnection, callback);
+            return super.send(server, requestId, isFirstOnConnection, callback);
         }
 
         @Override
-        public void respond(long request, int status, String body) {
+        public void respond(long requestId, int status, String body) {
             responseCount++;
-            super.respond(request, status, responseCount % 10 == 0 ? "invented" : body);
+            super.respond(requestId, status, responseCount % 10 == 0 ? "invented" : body);
             if (responseCount % 50 == 0) {
                 balancerFailed(new IllegalStateException("planted"));
             }
