--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -53,9 +53,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"calm", "rolling", "links", "servers", "members"})
     void violatesNoInvariantUnderRandomFaults(String name) throws Exception {
-        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
+        Optional<ScheduleExplorer.Finding> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
                 .explore(1, BUDGET_MS, MAX_SCHEDULES, Runtime.getRuntime().availableProcessors())
-                .found();
+                .finding();
         assertEquals(Optional.empty(), found);
     }
 
--- a/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
+++ b/testbed/src/main/java/tansypass/testbed/model/FaultInjector.java
@@ -8,8 +8,9 @@
 import tansypass.testbed.scenario.Scenario.Kind;
 
 /**
- * Applies faults to nodes, servers and links and notifies the checker of what they excuse. Subclasses reach the
- * servers and links of their kind of run. All calls come from the run's one thread.
+ * Applies faults to nodes, servers and links, and notifies the checker of the nodes that they exempt. Subclasses
+ * act on the servers and links of a simulated run or of a run on real processes. All calls come from the run's single
+ * thread.
  */
 public abstract class FaultInjector implements FaultSchedule.Target {
     private final InvariantChecker checker;
@@ -17,7 +18,7 @@
     private final List<? extends NodeHandle> nodes;
     private final LongSupplier nowUs;
 
-    /** Creates an injector; {@code nowUs} gives the time since the load began, in microseconds. */
+    /** Creates an injector; {@code nowUs} returns the time since the load began, in microseconds. */
     protected FaultInjector(
             InvariantChecker checker, EndpointRegistry registry, List<? extends NodeHandle> nodes, LongSupplier nowUs) {
         this.checker = checker;
@@ -32,10 +33,10 @@
     /** Starts a server's process again. */
     protected abstract void startServer(int server);
 
-    /** Returns the model of a server. */
+    /** Returns the model of a server's behavior. */
     protected abstract WebServer webServer(int server);
 
-    /** Returns the Unix time in milliseconds that a server which starts now reports. */
+    /** Returns the present Unix time in milliseconds, which a server that starts now reports as its start. */
     protected abstract long unixMillis();
 
     /** Begins or ends a fault on the link between two nodes. */
@@ -44,15 +45,18 @@
     /** Begins or ends a fault on the link from the clients to a node. */
     protected abstract void applyToClientLink(int node, Fault fault, boolean begins);
 
-    /** Returns when all that is on the link from the clients to a node has passed; now, if nothing is. */
+    /**
+     * Returns the time at which all data now on the link from the clients to a node is delivered; the present time if
+     * the link is empty.
+     */
     protected abstract long clientLinkClearedUs(int node);
 
     @Override
-    public void nodeFault(int number, Fault fault, boolean begins) {
+    public void applyNodeFault(int number, Fault fault, boolean begins) {
         NodeHandle node = nodes.get(number);
         node.faultChanged(begins);
         if (fault.kind() == Kind.PAUSE) {
-            node.pause(begins);
+            node.setPaused(begins);
         } else if (!begins) {
             node.restart();
         } else if (fault.kind() == Kind.KILL) {
@@ -63,7 +67,7 @@
     }
 
     @Override
-    public final void serverFault(int number, Fault fault, boolean begins) {
+    public final void applyServerFault(int number, Fault fault, boolean begins) {
         String name = ProcessNames.server(number);
         if (fault.kind() != Kind.KILL) {
             webServer(number).applyFault(fault, begins);
@@ -80,19 +84,19 @@
     }
 
     @Override
-    public final void discoverySilence(boolean silent) {
+    public final void setDiscoverySilent(boolean silent) {
         registry.setSilent(silent);
     }
 
     @Override
-    public final void memberLinkFault(int first, int second, Fault fault, boolean begins) {
+    public final void applyMemberLinkFault(int first, int second, Fault fault, boolean begins) {
         applyToMemberLink(first, second, fault, begins);
         nodes.get(first).faultChanged(begins);
         nodes.get(second).faultChanged(begins);
     }
 
     @Override
-    public void clientLinkFault(int node, Fault fault, boolean begins) {
+    public void applyClientLinkFault(int node, Fault fault, boolean begins) {
         applyToClientLink(node, fault, begins);
         if (begins) {
             nodes.get(node).clientLinkFaultBegan(fault);
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessNodeHandle.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 import java.util.Set;
 import tansypass.cluster.transport.ClusterTransport;
-import tansypass.testbed.invariant.Excuse;
+import tansypass.testbed.invariant.Exemption;
 import tansypass.testbed.invariant.MembershipInvariantChecker;
 import tansypass.testbed.model.ClientLoadBalancer;
 import tansypass.testbed.model.NodeHandle;
 
 /** A node of a run on real processes: its addresses, its clients and its current process. */
 final class ProcessNodeHandle extends NodeHandle {
-    /** The least interval at which a node's readiness is polled; it grows with the number of nodes. */
+    /** The minimum interval between polls of a node's readiness. The interval is longer if the run has many nodes. */
     private static final long READY_POLL_INTERVAL_US = 100_000;
 
     private static final long READY_POLL_INTERVAL_PER_NODE_US = 10_000;
-    /** The least interval at which a node's membership view is polled; it grows with the number of nodes. */
+    /** The minimum interval between polls of a node's view. The interval is longer if the run has many nodes. */
     private static final long VIEW_POLL_INTERVAL_US = 200_000;
 
     private static final long VIEW_POLL_INTERVAL_PER_NODE_US = 20_000;
@@ -33,7 +33,7 @@
     private Optional<MembershipSnapshot> lastView = Optional.empty();
 
     private boolean isReady;
-    /** Whether a fault has ended the process and the process has not been started again. */
+    /** True from the time at which a fault ends the process until a new process is started. */
     private boolean isEndedByFault;
 
     ProcessNodeHandle(int number, ProcessRunContext context, LoopbackAllocator loopback) {
@@ -151,20 +151,20 @@
     }
 
     private void handleProcessEnd() {
-        nextGeneration();
+        advanceGeneration();
         checker.membershipChecker().ifPresent(members -> members.memberDied(number(), nowUs()));
         lastView = Optional.empty();
         isReady = false;
         clientLoadBalancer.nodeDied(number());
-        endExcuseWhenProcessExits(checker.excuseNode(nowUs(), number()));
+        endExemptionWhenProcessExits(checker.exemptNode(nowUs(), number()));
     }
 
-    /** Ends the excuse when the process has exited: until SIGKILL takes effect, clients may still connect. */
-    private void endExcuseWhenProcessExits(Excuse excuse) {
+    /** Ends the exemption when the process has exited: until SIGKILL takes effect, clients may still connect. */
+    private void endExemptionWhenProcessExits(Exemption exemption) {
         if (process.isAlive()) {
-            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExcuseWhenProcessExits(excuse));
+            scheduler.after(EXIT_CHECK_INTERVAL_US, () -> endExemptionWhenProcessExits(exemption));
         } else {
-            excuse.end(nowUs());
+            exemption.end(nowUs());
         }
     }
 
@@ -199,19 +199,19 @@
             scheduler.after(EXIT_CHECK_INTERVAL_US, this::restart);
         } else {
             isEndedByFault = false;
-            nextGeneration();
+            advanceGeneration();
             isReady = false;
             process.start();
         }
     }
 
     @Override
-    public void pause(boolean on) {
-        process.setStopped(on);
-        if (on) {
-            beginPauseExcuse();
+    public void setPaused(boolean paused) {
+        process.setStopped(paused);
+        if (paused) {
+            beginPauseExemption();
         } else {
-            endPauseExcuse();
+            endPauseExemption();
         }
     }
 }
--- a/testbed/src/main/java/tansypass/testbed/process/Relay.java
+++ b/testbed/src/main/java/tansypass/testbed/process/Relay.java
@@ -54,7 +54,7 @@
         return address;
     }
 
-    /** Returns in how many microseconds all bytes that are in transit now will have been delivered. */
+    /** Returns the time until all bytes that are now in transit are delivered, in microseconds. */
     long remainingTransitUs() {
         return Math.max(0, linkState.busyUntilUs() - scheduler.nowUs());
     }
@@ -115,7 +115,7 @@
         });
     }
 
-    /** Relays a connection. Called by the relay's own listener, or by another one if {@link #start} was not called. */
+    /** Relays an accepted connection. If {@link #start} was not called, another listener accepts the connections. */
     void accept(SocketChannel channel) {
         if (linkState.isReset()) {
             Channels.closeWithReset(channel);
--- a/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
+++ b/testbed/src/main/java/tansypass/testbed/process/RelayPipe.java
@@ -45,7 +45,7 @@
     }
 
     /** Sets the pipe of the other direction. */
-    void setReverse(RelayPipe pipe) {
+    void setReversePipe(RelayPipe pipe) {
         reversePipe = pipe;
     }
 
@@ -96,7 +96,7 @@
 
     private void runAfterTransit(int bytes, Runnable delivery) {
         long nowUs = scheduler.nowUs();
-        long transitUs = linkState.dueUs(direction, nowUs, bytes) - nowUs;
+        long transitUs = linkState.streamDueUs(direction, nowUs, bytes) - nowUs;
         if (transitUs <= 0 && deliveriesInTransit.isEmpty()) {
             delivery.run();
         } else {
--- a/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/ClusterMetricsText.java
@@ -8,20 +8,20 @@
 final class ClusterMetricsText {
     private ClusterMetricsText() {}
 
-    /** Returns the rows, with a heading before each series of the same cluster. */
+    /** Returns the rows as text, with a heading before each series of rows of the same cluster. */
     static String format(List<Row> rows) {
         StringBuilder text = new StringBuilder();
         String lastHeading = "";
         for (Row row : rows) {
-            String heading = heading(row);
+            String heading = formatHeading(row);
             text.append(heading.equals(lastHeading) ? "" : heading);
             lastHeading = heading;
-            text.append(line(row));
+            text.append(formatRow(row));
         }
         return text.toString();
     }
 
-    private static String heading(Row row) {
+    private static String formatHeading(Row row) {
         return String.format(
                 Locale.ROOT,
                 "%s, %d processes, %.0f %% of datagrams lost, %d seeds: median, worst%n",
@@ -31,7 +31,7 @@
                 row.seeds());
     }
 
-    private static String line(Row row) {
+    private static String formatRow(Row row) {
         return String.format(
                 Locale.ROOT,
                 "  %-52s %10.2f %10.2f%s%n",
--- a/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/tansypass/testbed/simulation/SimulatedClients.java
@@ -14,16 +14,19 @@
 import tansypass.testbed.model.PoissonArrivals;
 import tansypass.testbed.scenario.Scenario.RequestClass;
 
-/** The load of a simulated run: sends requests in an open loop and waits for their responses. */
+/** The clients of a simulated run, which send requests in an open loop and wait for their responses. */
 final class SimulatedClients {
     private final SimulationContext context;
     private final InvariantChecker checker;
-    /** By id, the requests that wait for their response. */
-    private final Map<String, Client> waiting = new LinkedHashMap<>();
-    /** By id, until the last client has timed out: an attempt may arrive after its client has its response. */
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    /** By request id, the clients that wait for their response. */
+    private final Map<String, Client> waitingClients = new LinkedHashMap<>();
+    /**
+     * By request id, the class of the request. An entry stays until the client's timeout, because an attempt can reach
+     * a server after the client has received its response.
+     */
+    private final Map<String, RequestClass> classesById = new HashMap<>();
 
-    /** A client that waits for the response to its one request. */
+    /** A client with one request, sent to one process of a node. */
     private record Client(String id, int node, int generation) {
         long requestId() {
             return HexFormat.fromHexDigitsToLong(id);
@@ -35,7 +38,7 @@
         checker = context.checker;
     }
 
-    /** Starts the load, which lasts for the scenario's length. */
+    /** Starts to send requests, for the length of the scenario. */
     void start() {
         PoissonArrivals arrivals = new PoissonArrivals(
                 context.scenario.clients().requestsPerS(),
@@ -46,7 +49,7 @@
     }
 
     private void scheduleNext(PoissonArrivals arrivals) {
-        long dueUs = arrivals.nextUs();
+        long dueUs = arrivals.nextArrivalUs();
         if (dueUs >= context.scenario.lengthUs()) {
             return;
         }
@@ -56,16 +59,16 @@
         });
     }
 
-    private void send(RequestClass requestClass, long request, long intendedUs) {
+    private void send(RequestClass requestClass, long requestId, long intendedUs) {
         int number = context.clientLoadBalancer.selectNode();
         if (number == ClientLoadBalancer.NO_NODE
-                || waiting.size() >= context.scenario.clients().maxOpenRequests()) {
+                || waitingClients.size() >= context.scenario.clients().maxOpenRequests()) {
             checker.requestNotSent(context.nowUs(), intendedUs);
             return;
         }
         SimulatedNodeHandle node = context.nodes.get(number);
         LinkState link = node.network().clientLink();
-        String id = HexFormat.of().toHexDigits(request);
+        String id = HexFormat.of().toHexDigits(requestId);
         long deadlineUs = context.nowUs() + requestClass.deadlineUs();
         checker.requestSent(context.nowUs(), id, requestClass, number, intendedUs, deadlineUs);
         if (!node.isAlive() || link.isReset()) {
@@ -73,61 +76,61 @@
             return;
         }
         Client client = new Client(id, number, node.generation());
-        waiting.put(id, client);
-        classes.put(id, requestClass);
+        waitingClients.put(id, client);
+        classesById.put(id, requestClass);
         context.queue.after(InvariantChecker.responseTimeoutAtUs(deadlineUs) - context.nowUs(), () -> timeOut(client));
         if (!link.isCut(Direction.THERE)) {
-            long dueUs = link.dueUs(Direction.THERE, context.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
+            long dueUs = link.streamDueUs(Direction.THERE, context.nowUs(), SimulatedNodeNetwork.MESSAGE_BYTES);
             SimulatedProcess receiver = node.process();
             context.queue.after(
                     dueUs - context.nowUs(),
-                    () -> receiver.deliver(() -> deliver(node, requestClass, request, deadlineUs)));
+                    () -> receiver.deliver(() -> deliver(node, requestClass, requestId, deadlineUs)));
         }
     }
 
-    private void deliver(SimulatedNodeHandle node, RequestClass requestClass, long request, long deadlineUs) {
+    private void deliver(SimulatedNodeHandle node, RequestClass requestClass, long requestId, long deadlineUs) {
         int classIndex = context.scenario.classes().indexOf(requestClass);
-        node.node().onRequest(request, classIndex, Math.max(0, deadlineUs - context.nowUs()));
+        node.node().onRequest(requestId, classIndex, Math.max(0, deadlineUs - context.nowUs()));
     }
 
     private void timeOut(Client client) {
-        classes.remove(client.id);
-        if (waiting.remove(client.id, client)) {
+        classesById.remove(client.id);
+        if (waitingClients.remove(client.id, client)) {
             checker.responseTimedOut(context.nowUs(), client.id);
         }
     }
 
-    /** A response reaches the client; one that comes too late is dropped. */
-    void receive(long request, int status, String body) {
-        String id = HexFormat.of().toHexDigits(request);
-        if (waiting.remove(id) != null) {
+    /** Delivers a response to its client, or drops it if the client no longer waits. */
+    void receive(long requestId, int status, String body) {
+        String id = HexFormat.of().toHexDigits(requestId);
+        if (waitingClients.remove(id) != null) {
             checker.responseReceived(context.nowUs(), id, status, body);
         }
     }
 
-    /** The connections to a process of a node break because it was killed. */
+    /** Breaks the connections to a process of a node, which was killed. */
     void breakConnections(int node, int generation) {
-        for (Client client : new ArrayList<>(waiting.values())) {
+        for (Client client : new ArrayList<>(waitingClients.values())) {
             if (client.node == node && client.generation == generation) {
-                waiting.remove(client.id);
+                waitingClients.remove(client.id);
                 checker.connectionBroken(context.nowUs(), client.id, false);
             }
         }
     }
 
-    /** The connections to a node are reset on their link, and the node notices. */
+    /** Resets the connections on the link to a node, and notifies both the clients and the node. */
     void resetConnections(SimulatedNodeHandle node) {
-        for (Client client : List.copyOf(waiting.values())) {
+        for (Client client : List.copyOf(waitingClients.values())) {
             if (client.node == node.number() && node.isAlive()) {
-                waiting.remove(client.id);
+                waitingClients.remove(client.id);
                 checker.connectionBroken(context.nowUs(), client.id, false);
                 node.process().deliver(() -> node.node().onClientDisconnect(client.requestId()));
             }
         }
     }
 
-    /** Returns the class of a request; of one that no client sent, the first class. */
+    /** Returns the class of a request, or the first class if no client sent this request. */
     RequestClass classOf(String id) {
-        return classes.getOrDefault(id, context.scenario.classes().get(0));
+        return classesById.getOrDefault(id, context.scenario.classes().get(0));
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/TestScenarios.java
+++ b/testbed/src/test/java/tansypass/testbed/TestScenarios.java
@@ -4,9 +4,9 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
 
-/** Scenarios for tests. */
+/** Scenarios for tests, and their parts. */
 public final class TestScenarios {
-    /** Two nodes and four servers in two zones, a request class of each idempotency, and no fault. */
+    /** A scenario with two nodes, four servers, two zones, one request class of each idempotency, and no fault. */
     public static final String SMALL = """
             name = "small"
             length = "4s"
@@ -32,7 +32,7 @@
 
     private TestScenarios() {}
 
-    /** Parses the text of a valid scenario. */
+    /** Parses the text of a valid scenario; fails the test if the scenario is invalid. */
     public static Scenario of(String text) {
         try {
             return ScenarioFile.parse(text, "world");
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Returns the lines of a fault, to be appended to the text of a scenario. */
+    /** Returns the TOML lines of a fault, to be appended to the text of a scenario. */
     public static String fault(String kind, String targets, String start, String duration, String furtherKeys) {
         return "[[faults]]\nkind = \"" + kind + "\"\non = [" + targets + "]\nat = \"" + start + "\"\nlasts = \""
                 + duration
--- a/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
+++ b/testbed/src/test/java/tansypass/testbed/model/LinkStateTest.java
@@ -15,8 +15,8 @@
 class LinkStateTest {
     private final LinkState link = new LinkState(100, RandomStreams.of(1, "link"));
 
-    private static Fault fault(Kind kind, FaultDirection way, double amount, long timeUs) {
-        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), way, amount, timeUs);
+    private static Fault fault(Kind kind, FaultDirection direction, double amount, long timeUs) {
+        return new Fault(kind, 0, 0, List.of("node-0", "server-0"), direction, amount, timeUs);
     }
 
     @Test
@@ -35,19 +35,19 @@
 
     @Test
     void addsDelaysAndKeepsStreamOrder() {
-        Fault slow = fault(Kind.DELAY, FaultDirection.THERE, 0, 1_000);
-        link.apply(slow, true);
-        assertEquals(1_100, link.dueUs(Direction.THERE, 0, 10));
-        assertEquals(100, link.dueUs(Direction.BACK, 0, 10));
-        link.apply(slow, false);
-        assertEquals(1_100, link.dueUs(Direction.THERE, 50, 10));
-        assertEquals(1_300, link.dueUs(Direction.THERE, 1_200, 10));
+        Fault delay = fault(Kind.DELAY, FaultDirection.THERE, 0, 1_000);
+        link.apply(delay, true);
+        assertEquals(1_100, link.streamDueUs(Direction.THERE, 0, 10));
+        assertEquals(100, link.streamDueUs(Direction.BACK, 0, 10));
+        link.apply(delay, false);
+        assertEquals(1_100, link.streamDueUs(Direction.THERE, 50, 10));
+        assertEquals(1_300, link.streamDueUs(Direction.THERE, 1_200, 10));
     }
 
     @Test
     void queuesChunksUnderRateLimit() {
         link.apply(fault(Kind.RATE, FaultDirection.BOTH, 1_000, 0), true);
-        assertEquals(100 + 500_000, link.dueUs(Direction.THERE, 0, 500));
-        assertEquals(100 + 1_000_000, link.dueUs(Direction.THERE, 0, 500));
+        assertEquals(100 + 500_000, link.streamDueUs(Direction.THERE, 0, 500));
+        assertEquals(100 + 1_000_000, link.streamDueUs(Direction.THERE, 0, 500));
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
+++ b/testbed/src/test/java/tansypass/testbed/simulation/ForwardingNetwork.java
@@ -1,6 +1,6 @@
 package tansypass.testbed.simulation;
 
-/** A network that forwards every call, for tests that override some. */
+/** A network that forwards every call. Tests override some of the methods. */
 public class ForwardingNetwork implements SimulatedNetwork {
     private final SimulatedNetwork delegate;
 
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public OutboundRequest send(String server, long request, boolean fresh, Callback callback) {
-        return delegate.send(server, request, fresh, callback);
+    public OutboundRequest send(String server, long requestId, boolean isFirstOnConnection, Callback callback) {
+        return delegate.send(server, requestId, isFirstOnConnection, callback);
     }
 
     @Override
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void respond(long request, int status, String body) {
-        delegate.respond(request, status, body);
+    public void respond(long requestId, int status, String body) {
+        delegate.respond(requestId, status, body);
     }
 
     @Override
-    public void moduleFailed(RuntimeException fault) {
-        delegate.moduleFailed(fault);
+    public void balancerFailed(RuntimeException exception) {
+        delegate.balancerFailed(exception);
     }
 }
