--- a/cli/src/test/java/tansypass/cli/CommandsTest.java
+++ b/cli/src/test/java/tansypass/cli/CommandsTest.java
@@ -117,6 +117,7 @@
     @Test
     void checkReportsEachError() throws IOException {
         assertEquals(Exit.OK, run("check", file(NODE)));
+        assertTrue(out.toString().endsWith("n.toml: fit for use\n"), out.toString());
         assertEquals(Exit.INVALID_INPUT, run("check", file(NODE.replace("400ms", "400"))));
         assertTrue(out.toString().contains("n.toml:18: classes[0].deadline: \"400\""), out.toString());
         assertTrue(out.toString().endsWith("1 fault\n"), out.toString());
@@ -135,6 +136,7 @@
                 Exit.OK,
                 run("testbed", "explore", file(scenario), "--most", "3", "--threads", "1", "--json", json.toString()));
         assertEquals("{\"scenario\":\"w\",\"first_seed\":1,\"tried\":3}", Files.readString(json));
+        assertTrue(out.toString().endsWith("no rule was broken\n"), out.toString());
     }
 
     @Test
--- a/cli/src/test/java/tansypass/cli/DisagreementTest.java
+++ b/cli/src/test/java/tansypass/cli/DisagreementTest.java
@@ -76,6 +76,11 @@
         line.setOut(new PrintWriter(out)).setErr(new PrintWriter(new StringWriter()));
         int code = line.execute("members", at(a), "--all");
         assertTrue(code == Exit.NEGATIVE, out.toString());
+        assertTrue(
+                out.toString()
+                        .replaceAll(" +", " ")
+                        .contains("\nmember state zone role generation inc for, s address\n"),
+                out.toString());
         assertTrue(out.toString().contains("disagreed about c for 4.5 s: {failed 7=[a], left 7=[b]}"), out.toString());
         assertTrue(out.toString().contains("2 asked, 1 members disagreed about, 0 silent"), out.toString());
     }
--- a/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
+++ b/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
@@ -1,18 +1,31 @@
 package tansypass.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.read.ListAppender;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Clock;
 import java.util.Arrays;
+import java.util.List;
 import java.util.Map;
+import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import tansypass.config.NodeFile;
 import tansypass.platform.NodeConfigJsonReader;
@@ -62,20 +75,27 @@
             """;
 
     private static final String METRICS = """
+            # HELP tansypass_abandoned_total Requests whose client left before anything of them was sent on.
             # TYPE tansypass_abandoned_total counter
             tansypass_abandoned_total 0.0
+            # HELP tansypass_attempts_total Requests written whole to web servers.
             # TYPE tansypass_attempts_total counter
             tansypass_attempts_total 1.0
+            # HELP tansypass_in_flight Requests taken and not ended.
             # TYPE tansypass_in_flight gauge
             tansypass_in_flight 0.0
+            # HELP tansypass_log_lines_dropped_total Lines of the log that found its queue full.
             # TYPE tansypass_log_lines_dropped_total counter
             tansypass_log_lines_dropped_total 0.0
+            # HELP tansypass_requests_total Requests answered, by class and outcome.
             # TYPE tansypass_requests_total counter
             tansypass_requests_total{class="a",outcome="failed"} 1.0
             tansypass_requests_total{class="a",outcome="refused"} 1.0
             tansypass_requests_total{class="a",outcome="served"} 1.0
+            # HELP tansypass_web_servers_excluded Listed web servers that the node avoids now.
             # TYPE tansypass_web_servers_excluded gauge
             tansypass_web_servers_excluded 0.0
+            # HELP tansypass_web_servers_known Web servers in the list.
             # TYPE tansypass_web_servers_known gauge
             tansypass_web_servers_known 0.0
             """;
@@ -158,10 +178,64 @@
         assertEquals(
                 METRICS,
                 page.lines()
-                        .filter(line -> line.startsWith("tansypass_") || line.startsWith("# TYPE tansypass_"))
+                        .filter(line -> line.matches("(# (HELP|TYPE) )?tansypass_.*"))
                         .collect(Collectors.joining("\n", "", "\n")));
     }
 
+    @Test
+    void columnHeadsStayAsRecorded() {
+        StringWriter out = new StringWriter();
+        CommandLine line = Main.commandLine();
+        line.setOut(new PrintWriter(out)).execute("watch", "--count", "1", "127.0.0.1:1");
+        assertEquals(
+                "node state served refused failed attempts in flight servers",
+                out.toString().lines().findFirst().orElse("").trim().replaceAll(" +", " "));
+    }
+
+    /** Returns the fields of all log lines that the action writes with the logger of a class. */
+    private static List<String> fieldsLogged(Class<?> source, Callable<?> action) throws Exception {
+        ListAppender<ILoggingEvent> logged = new ListAppender<>();
+        logged.start();
+        Logger log = (Logger) LoggerFactory.getLogger(source);
+        log.setLevel(Level.INFO);
+        log.addAppender(logged);
+        try {
+            action.call();
+        } finally {
+            log.detachAppender(logged);
+            log.setLevel(null);
+        }
+        return logged.list.stream()
+                .map(event -> event.getKeyValuePairs().toString())
+                .toList();
+    }
+
+    @Test
+    void reloadEventsStayAsRecorded() throws Exception {
+        Path file = Files.writeString(folder.resolve("n.toml"), FILE);
+        ConfigReloader reloader =
+                new ConfigReloader(file.toString(), Map.of(), NodeFile.read(file.toString(), Map.of()));
+        Files.writeString(file, FILE.replace("\"7\"", "\"8\"") + "[log]\nlevel = \"warn\"\nqueue = 16\n");
+        assertEquals(
+                List.of(
+                        "[event=\"reload.needs-restart\", keys=\"node.seed,log.queue\"]",
+                        "[event=\"reload.taken\", file=\"" + file + "\"]"),
+                fieldsLogged(ConfigReloader.class, reloader::reload));
+    }
+
+    @Test
+    void clusterEventStaysAsRecorded() throws Exception {
+        try (DatagramSocket occupied = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            String cluster = "[fleet]\nlisten = \"127.0.0.1:%d\"\ndeployment = \"d\"\n";
+            String file = Files.writeString(folder.resolve("n.toml"), FILE + cluster.formatted(occupied.getLocalPort()))
+                    .toString();
+            List<String> fields = fieldsLogged(
+                    Membership.class, () -> Membership.join(NodeFile.read(file, Map.of()), Clock.systemUTC()));
+            assertEquals(1, fields.size());
+            assertTrue(fields.get(0).startsWith("[event=\"fleet.closed\", reason=\""), fields.get(0));
+        }
+    }
+
     @Test
     void fileEqualsRecordedPlatformJson() throws Exception {
         String file = Files.writeString(folder.resolve("n.toml"), FILE).toString();
--- a/cli/src/test/java/tansypass/cli/MembersTest.java
+++ b/cli/src/test/java/tansypass/cli/MembersTest.java
@@ -215,6 +215,8 @@
         processes.get(2).destroyForcibly().waitFor();
         awaitMetric(0, "tansypass_fleet_nodes{state=\"lost\"}", 1);
         assertEquals(2, metric(0, taking));
+        assertEquals(2, metric(0, "tansypass_members_present{zone=\"a\"}"));
+        assertTrue(metric(0, "tansypass_membership_disagreement_seconds") >= 0);
     }
 
     private static long eventCount(int node, String event) {
