--- a/cli/src/main/java/tansypass/cli/ConfigReloader.java
+++ b/cli/src/main/java/tansypass/cli/ConfigReloader.java
@@ -71,13 +71,14 @@
         addIfChanged(keys, "node.listen", old.listen(), changed.listen());
         addIfChanged(keys, "node.admin", old.admin(), changed.admin());
         addIfChanged(keys, "node.zone", old.zone(), changed.zone());
-        addIfChanged(keys, "node.sockets", old.sockets(), changed.sockets());
+        addIfChanged(keys, "node.sockets", old.maxDescriptors(), changed.maxDescriptors());
         addIfChanged(keys, "node.seed", old.seed(), changed.seed());
         addIfChanged(keys, "servers", old.servers(), changed.servers());
         addIfChanged(keys, "service, classes or tenants", old.service(), changed.service());
         addIfChanged(keys, "fleet", old.cluster(), changed.cluster());
         addIfChanged(keys, "log.format", old.log().format(), changed.log().format());
-        addIfChanged(keys, "log.queue", old.log().queue(), changed.log().queue());
+        addIfChanged(
+                keys, "log.queue", old.log().maxQueuedLines(), changed.log().maxQueuedLines());
         return keys;
     }
 
--- a/cli/src/main/java/tansypass/cli/Logs.java
+++ b/cli/src/main/java/tansypass/cli/Logs.java
@@ -41,7 +41,7 @@
         console.start();
         CountingAppender queue = new CountingAppender();
         queue.setContext(context);
-        queue.setQueueSize(settings.queue());
+        queue.setQueueSize(settings.maxQueuedLines());
         queue.setNeverBlock(true);
         queue.setDiscardingThreshold(0);
         queue.addAppender(console);
--- a/cli/src/main/java/tansypass/cli/NodeFileConverter.java
+++ b/cli/src/main/java/tansypass/cli/NodeFileConverter.java
@@ -29,7 +29,7 @@
                 file.discovery(),
                 file.admin(),
                 toSeed(file.seed()),
-                file.sockets(),
+                file.maxDescriptors(),
                 toSettings(file),
                 toEndpointList(file.servers()));
     }
@@ -83,7 +83,7 @@
                 configured.residualWeight(),
                 toIdempotency(configured.idempotency()),
                 toDeduplicationScope(configured.deduplicationScope()),
-                configured.idempotencyWindowUs(),
+                configured.deduplicationWindowUs(),
                 false);
     }
 
--- a/config/src/main/java/tansypass/config/NodeFile.java
+++ b/config/src/main/java/tansypass/config/NodeFile.java
@@ -9,7 +9,7 @@
  * default.
  *
  * @param admin the address of the admin server, or null for none
- * @param sockets the limit on file descriptors
+ * @param maxDescriptors the limit on file descriptors
  * @param seed of the random numbers, hexadecimal; empty for a new one at each start
  * @param discovery the address of the discovery agent, or null to use the servers of this file
  * @param cluster the membership in a cluster, or null for none
@@ -19,7 +19,7 @@
         InetSocketAddress listen,
         InetSocketAddress admin,
         String zone,
-        int sockets,
+        int maxDescriptors,
         String seed,
         InetSocketAddress discovery,
         List<ServerConfig> servers,
@@ -28,9 +28,9 @@
         ClusterConfig cluster) {
 
     /** Pattern of names, which are used in paths, metrics and headers. */
-    public static final String NAME = "[A-Za-z0-9][A-Za-z0-9_.-]{0,63}";
-    /** Description of {@link #NAME} for error messages. */
-    public static final String NAME_ALLOWED = "1 to 64 letters, digits, '-', '_' or '.', no sign first";
+    public static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9_.-]{0,63}";
+    /** Description of {@link #NAME_PATTERN} for error messages. */
+    public static final String ALLOWED_NAMES = "1 to 64 letters, digits, '-', '_' or '.', no sign first";
     /** The longest duration of any setting: one day, in microseconds. */
     public static final long MAX_DURATION_US = 86_400_000_000L;
 
@@ -86,7 +86,7 @@
      * @param deadlineUs the latency after which the client does not wait any longer
      * @param priorityWeight the value of a response within the latency objective
      * @param residualWeight the part of that value, 0 to 1, which a later response keeps
-     * @param idempotencyWindowUs how long servers remember idempotency keys
+     * @param deduplicationWindowUs how long servers remember idempotency keys
      */
     public record RequestClassConfig(
             String name,
@@ -96,7 +96,7 @@
             long deadlineUs,
             double priorityWeight,
             double residualWeight,
-            long idempotencyWindowUs) {}
+            long deduplicationWindowUs) {}
 
     /** A tenant, and its quota of requests per second of all nodes together; 0 means unlimited. */
     public record TenantConfig(String name, double quotaPerS) {}
@@ -131,8 +131,8 @@
             List<RequestClassConfig> classes,
             List<TenantConfig> tenants) {}
 
-    /** Settings of the log; {@code queue} is the number of lines buffered at most. */
-    public record LogSettings(LogFormat format, LogLevel level, int queue) {}
+    /** Settings of the log; {@code maxQueuedLines} is the number of lines buffered at most. */
+    public record LogSettings(LogFormat format, LogLevel level, int maxQueuedLines) {}
 
     /**
      * Membership in a cluster; durations in microseconds.
--- a/config/src/main/java/tansypass/config/NodeFileReader.java
+++ b/config/src/main/java/tansypass/config/NodeFileReader.java
@@ -30,13 +30,13 @@
         TomlTableReader discovery = root.getTable("discovery");
         ServiceConfig service = readService(root.getTable("service"), root);
         NodeFile file = new NodeFile(
-                node.getString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED, "node"),
+                node.getString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES, "node"),
                 node.getAddress("listen", true),
                 node.getAddress("admin", false),
                 node.getString(
                         "zone",
-                        NodeFile.NAME,
-                        NodeFile.NAME_ALLOWED,
+                        NodeFile.NAME_PATTERN,
+                        NodeFile.ALLOWED_NAMES,
                         service.zones().get(0)),
                 (int) node.getLong("sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS),
                 node.getString("seed", "[0-9a-f]{0,16}", "up to 16 hexadecimal digits", ""),
@@ -67,7 +67,7 @@
         return new ClusterConfig(
                 listen,
                 advertise == null ? listen : advertise,
-                cluster.requireString("deployment", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                cluster.requireString("deployment", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 cluster.getAddresses("seeds"),
                 probes.intervalUs(),
                 probes.timeoutUs());
@@ -82,12 +82,15 @@
 
     private static ServerConfig readServer(TomlTableReader server, ServiceConfig service) {
         String zone = server.getString(
-                "zone", NodeFile.NAME, NodeFile.NAME_ALLOWED, service.zones().get(0));
+                "zone",
+                NodeFile.NAME_PATTERN,
+                NodeFile.ALLOWED_NAMES,
+                service.zones().get(0));
         if (server.isValid() && !service.zones().contains(zone)) {
             server.addError("zone", "\"" + zone + "\" is not among service.zones");
         }
         return new ServerConfig(
-                server.requireString("uid", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                server.requireString("uid", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 server.getAddress("endpoint", true),
                 zone,
                 (int) server.getLong("cell", 0, Integer.MAX_VALUE, 0),
@@ -95,7 +98,7 @@
     }
 
     private static ServiceConfig readService(TomlTableReader service, TomlTableReader root) {
-        List<String> zones = service.getStrings("zones", NodeFile.NAME, NodeFile.NAME_ALLOWED);
+        List<String> zones = service.getStrings("zones", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES);
         List<TomlTableReader> classes = root.requireTables("classes");
         requireUnique(classes, "name");
         requireUnique(root.getTables("tenants"), "name");
@@ -127,7 +130,7 @@
             requestClass.addError("aim", "is past the deadline");
         }
         return new RequestClassConfig(
-                requestClass.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                requestClass.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 common.readIdempotency(),
                 common.readDeduplicationScope(),
                 latencyObjectiveUs,
@@ -139,7 +142,7 @@
 
     private static TenantConfig readTenant(TomlTableReader tenant) {
         return new TenantConfig(
-                tenant.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                tenant.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 tenant.getDouble("quota_per_s", 0, 1e9, 0));
     }
 
--- a/config/src/test/java/tansypass/config/NodeFileTest.java
+++ b/config/src/test/java/tansypass/config/NodeFileTest.java
@@ -47,7 +47,7 @@
         NodeFile node = NodeFile.read(file(MINIMAL), Map.of());
         assertEquals("node", node.name());
         assertEquals("a", node.zone());
-        assertEquals(1_024, node.sockets());
+        assertEquals(1_024, node.maxDescriptors());
         assertNull(node.admin());
         assertEquals(200_000, node.service().classes().get(0).latencyObjectiveUs());
         assertEquals(400_000, node.service().classes().get(0).deadlineUs());
@@ -106,7 +106,7 @@
                         "TANSYPASS_SERVICE_CANCEL",
                         "true"));
         assertEquals("127.0.0.2", node.listen().getHostString());
-        assertEquals(500, node.sockets());
+        assertEquals(500, node.maxDescriptors());
         assertTrue(node.service().cancellation());
         assertEquals(
                 List.of("TANSYPASS_NODE_SOCKETS: node.sockets: \"many\" is not allowed; allowed: a whole"
--- a/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
@@ -56,7 +56,7 @@
     private static Scenario readScenario(TomlTableReader root) {
         List<TomlTableReader> classTables = root.requireTables("classes");
         Scenario scenario = new Scenario(
-                root.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                root.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 root.requireDurationUs("length", 100_000, HOUR_US),
                 root.getDurationUs("settle", 0, MINUTE_US, 3_000_000),
                 readNodes(root.getTable("nodes")),
@@ -74,7 +74,7 @@
     }
 
     private static Nodes readNodes(TomlTableReader table) {
-        List<String> zones = table.getStrings("zones", NodeFile.NAME, NodeFile.NAME_ALLOWED);
+        List<String> zones = table.getStrings("zones", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES);
         return new Nodes(
                 (int) table.getLong("count", 1, 2_000, 3),
                 zones.isEmpty() ? List.of("a") : zones,
