--- a/config/src/main/java/tansypass/config/ConfigError.java
+++ b/config/src/main/java/tansypass/config/ConfigError.java
@@ -3,14 +3,14 @@
 /**
  * One error in a configuration file.
  *
- * @param source the path of the file, or the name of the environment variable
- * @param line the line number from 1 on, or 0 if unknown
- * @param key the full key, or empty if the text is not TOML
- * @param problem what is wrong, with the value, and what is allowed
+ * @param source the path of the file, or the name of the environment variable that overrides the value
+ * @param line the line number, counted from 1; 0 if it is unknown
+ * @param key the full key, such as {@code servers[0].uid}; empty if the file can't be read or is not valid TOML
+ * @param problem the description of the error, with the invalid value and the allowed values
  */
 public record ConfigError(String source, int line, String key, String problem) {
 
-    /** Formats the error as one line: control characters of the file are replaced. */
+    /** Formats the error as one line, in which spaces replace control characters. */
     @Override
     public String toString() {
         String where = source + (line == 0 ? "" : ":" + line) + ": ";
--- a/config/src/main/java/tansypass/config/InvalidConfigException.java
+++ b/config/src/main/java/tansypass/config/InvalidConfigException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A configuration file is invalid; the message has one line per error. */
+/** Thrown if a configuration file is invalid; the message has one line per error. */
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** Returns at least one error, in the order of the file. */
+    /** Returns the errors, of which there is at least one, sorted by line. */
     public List<ConfigError> errors() {
         return errors;
     }
--- a/config/src/main/java/tansypass/config/NodeFileReader.java
+++ b/config/src/main/java/tansypass/config/NodeFileReader.java
@@ -13,18 +13,18 @@
 import tansypass.config.NodeFile.ServiceConfig;
 import tansypass.config.NodeFile.TenantConfig;
 
-/** Reads a {@link NodeFile} from TOML: keys, ranges and defaults, and the checks between values. */
+/** Reads a {@link NodeFile} from TOML. Has the keys, ranges and defaults, and checks values against each other. */
 final class NodeFileReader {
-    private static final int MIN_SOCKETS = 66;
-    private static final int MAX_SOCKETS = 1_000_000;
-    private static final int DEFAULT_SOCKETS = 1_024;
+    private static final int MIN_DESCRIPTORS = 66;
+    private static final int MAX_DESCRIPTORS = 1_000_000;
+    private static final int DEFAULT_DESCRIPTORS = 1_024;
     private static final String DEFAULT_ZONE = "a";
     private static final long MILLISECOND_US = 1_000;
     private static final long SECOND_US = 1_000 * MILLISECOND_US;
 
     private NodeFileReader() {}
 
-    /** Reads the complete file; errors are collected by the reader. */
+    /** Reads the complete file; {@code root} collects the errors. */
     static NodeFile read(TomlTableReader root) {
         TomlTableReader node = root.getTable("node");
         TomlTableReader discovery = root.getTable("discovery");
@@ -38,7 +38,7 @@
                         NodeFile.NAME_PATTERN,
                         NodeFile.ALLOWED_NAMES,
                         service.zones().get(0)),
-                (int) node.getLong("sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS),
+                (int) node.getLong("sockets", MIN_DESCRIPTORS, MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS),
                 node.getString("seed", "[0-9a-f]{0,16}", "up to 16 hexadecimal digits", ""),
                 discovery.getAddress("address", false),
                 root.getTables("servers").stream()
@@ -58,8 +58,8 @@
     }
 
     private static ClusterConfig readCluster(TomlTableReader cluster) {
-        ProbeTiming probes = ProbeTiming.read(cluster);
-        if (cluster.isValid() && probes.timeoutUs() >= probes.intervalUs()) {
+        ProbeTiming timing = ProbeTiming.read(cluster);
+        if (cluster.isValid() && timing.timeoutUs() >= timing.intervalUs()) {
             cluster.addError("probe", "is not shorter than the period");
         }
         InetSocketAddress listen = cluster.getAddress("listen", true);
@@ -69,8 +69,8 @@
                 advertise == null ? listen : advertise,
                 cluster.requireString("deployment", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 cluster.getAddresses("seeds"),
-                probes.intervalUs(),
-                probes.timeoutUs());
+                timing.intervalUs(),
+                timing.timeoutUs());
     }
 
     private static LogSettings readLog(TomlTableReader log) {
@@ -123,21 +123,21 @@
     }
 
     private static RequestClassConfig readRequestClass(TomlTableReader requestClass) {
-        RequestClassReader common = new RequestClassReader(requestClass, NodeFile.MAX_DURATION_US);
-        long latencyObjectiveUs = common.requireLatencyObjectiveUs();
-        long deadlineUs = common.requireDeadlineUs();
+        RequestClassReader classReader = new RequestClassReader(requestClass, NodeFile.MAX_DURATION_US);
+        long latencyObjectiveUs = classReader.requireLatencyObjectiveUs();
+        long deadlineUs = classReader.requireDeadlineUs();
         if (requestClass.isValid() && latencyObjectiveUs > deadlineUs) {
             requestClass.addError("aim", "is past the deadline");
         }
         return new RequestClassConfig(
                 requestClass.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
-                common.readIdempotency(),
-                common.readDeduplicationScope(),
+                classReader.readIdempotency(),
+                classReader.readDeduplicationScope(),
                 latencyObjectiveUs,
                 deadlineUs,
                 requestClass.getDouble("worth", 0, 1e6, 1),
                 requestClass.getDouble("late_worth", 0, 1, 0),
-                common.readDeduplicationWindowUs(0));
+                classReader.readDeduplicationWindowUs(0));
     }
 
     private static TenantConfig readTenant(TomlTableReader tenant) {
--- a/config/src/main/java/tansypass/config/RequestClassReader.java
+++ b/config/src/main/java/tansypass/config/RequestClassReader.java
@@ -4,8 +4,8 @@
 import tansypass.config.NodeFile.Idempotency;
 
 /**
- * Reads the keys that a request class has both in the files of nodes and in those of scenarios. The order of the calls
- * is that in which errors list the known keys.
+ * Reads the keys of a request class that exist both in the files of nodes and in the files of scenarios. Errors list
+ * the known keys in the order in which the methods are called.
  */
 public final class RequestClassReader {
     private static final long MIN_LATENCY_US = 1_000;
@@ -13,23 +13,23 @@
     private final TomlTableReader table;
     private final long maxDurationUs;
 
-    /** Creates a reader of one class, none of whose durations may be longer than this, in microseconds. */
+    /** Creates a reader of one class; {@code maxDurationUs} is the longest duration that its keys may have. */
     public RequestClassReader(TomlTableReader table, long maxDurationUs) {
         this.table = table;
         this.maxDurationUs = maxDurationUs;
     }
 
-    /** Returns whether a request may be executed more than once; it may not if the file doesn't say. */
+    /** Returns the idempotency of the class's requests; unsafe if the key is missing. */
     public Idempotency readIdempotency() {
         return table.getEnum("repeat", Idempotency.class, Idempotency.UNSAFE);
     }
 
-    /** Returns the servers that deduplicate a request; all if the file doesn't say. */
+    /** Returns the servers among which requests are deduplicated; all servers if the key is missing. */
     public DeduplicationScope readDeduplicationScope() {
         return table.getEnum("group", DeduplicationScope.class, DeduplicationScope.ALL);
     }
 
-    /** Returns for how long servers deduplicate, in microseconds, or the default if it is missing. */
+    /** Returns how long servers remember idempotency keys, in microseconds, or the default if it is missing. */
     public long readDeduplicationWindowUs(long defaultUs) {
         return table.getDurationUs("window", 0, maxDurationUs, defaultUs);
     }
--- a/config/src/main/java/tansypass/config/TomlFile.java
+++ b/config/src/main/java/tansypass/config/TomlFile.java
@@ -16,7 +16,7 @@
 
 /** Reads a TOML file through a {@link TomlTableReader} and reports all its errors at once. */
 public final class TomlFile {
-    /** Far more than any list of servers written by hand. */
+    /** The size of the largest file that is read: far larger than any list of servers written by hand. */
     private static final long MAX_BYTES = 1 << 20;
 
     private TomlFile() {}
@@ -24,8 +24,9 @@
     /**
      * Reads a file.
      *
-     * @param environment variables {@code TANSYPASS_SECTION_KEY} override values of the file
-     * @param converter makes the typed model; goes on after an error, since each has a placeholder value
+     * @param environment the environment, whose variables {@code TANSYPASS_SECTION_KEY} override values of the file
+     * @param converter converts the table to the typed model. It is not interrupted by an invalid value, which the
+     *     reader collects as an error and replaces by a placeholder
      * @throws InvalidConfigException with all errors
      */
     public static <T> T read(String file, Map<String, String> environment, Function<TomlTableReader, T> converter)
@@ -34,7 +35,7 @@
     }
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
      * @param file the name of the file in errors
      * @throws InvalidConfigException with all errors
--- a/config/src/main/java/tansypass/config/TomlTableReader.java
+++ b/config/src/main/java/tansypass/config/TomlTableReader.java
@@ -14,14 +14,14 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads the values of one TOML table. Each value is requested by key, together with what is allowed. An invalid value
- * is collected as a {@link ConfigError} and replaced by a placeholder, so that reading continues and all errors are
- * found at once. Keys that were never requested are errors too. Environment variables override values of top-level
+ * Reads the values of one TOML table. The caller requests each value by key and names the allowed values. An invalid
+ * value is collected as a {@link ConfigError} and replaced by a placeholder, so that reading continues and all errors
+ * are found at once. Keys that were never requested are errors too. Environment variables override values of top-level
  * tables.
  */
 public final class TomlTableReader {
     private static final String VARIABLE_PREFIX = "TANSYPASS_";
-    /** Longer values are truncated in errors, characters. */
+    /** The length in characters to which errors truncate a value. */
     private static final int MAX_SHOWN_LENGTH = 80;
 
     private final TomlTable table;
@@ -32,7 +32,7 @@
     private final List<ConfigError> errors;
     private boolean valid = true;
     private final Set<String> knownKeys = new LinkedHashSet<>();
-    /** Readers of inner tables by key; reused, so that each knows all keys that were requested. */
+    /** The readers of inner tables, by key. They are reused so that each one knows all requested keys of its table. */
     private final Map<String, List<TomlTableReader>> children = new LinkedHashMap<>();
 
     /**
@@ -40,7 +40,7 @@
      *
      * @param file the name of the file in errors
      * @param path the table's path with a final dot, such as {@code "servers[0]."}; empty for the top level
-     * @param line the line of the table, which errors about missing keys have
+     * @param line the line of the table, which errors about missing keys contain
      * @param errors receives all errors, also those of inner tables
      */
     TomlTableReader(
@@ -99,7 +99,10 @@
         return require(key, ValueType.durationUs(minUs, maxUs), minUs);
     }
 
-    /** Returns the constant whose lower-case name is given, or the default if it is missing; null makes it required. */
+    /**
+     * Returns the enum constant that the value names in lower case, or the default if the key is missing. If the
+     * default is null, the key is required.
+     */
     public <E extends Enum<E>> E getEnum(String key, Class<E> type, E defaultValue) {
         ValueType<E> constants = ValueType.constantOf(type);
         return defaultValue == null
@@ -159,7 +162,7 @@
         return text.length() > MAX_SHOWN_LENGTH ? text.substring(0, MAX_SHOWN_LENGTH) + "..." : text;
     }
 
-    /** Returns the reader of an inner table, which is empty if it is missing. */
+    /** Returns the reader of an inner table; a missing table reads as an empty one. */
     public TomlTableReader getTable(String key) {
         knownKeys.add(key);
         return children.computeIfAbsent(key, k -> {
@@ -193,7 +196,7 @@
         });
     }
 
-    /** Returns the readers of the tables {@code [[key]]}, of which one at least is required. */
+    /** Returns the readers of the tables {@code [[key]]}, of which at least one is required. */
     public List<TomlTableReader> requireTables(String key) {
         List<TomlTableReader> tables = getTables(key);
         if (tables.isEmpty()) {
@@ -207,7 +210,8 @@
     }
 
     /**
-     * Returns whether no error was found in this table so far; only then can its values be checked against each other.
+     * Returns whether no error was found in this table so far. Callers compare values of the table only if this is
+     * true, because invalid values are replaced by placeholders.
      */
     public boolean isValid() {
         return valid;
@@ -237,7 +241,10 @@
         return override != null ? new EnvironmentValue(override) : table.get(List.of(key));
     }
 
-    /** Returns the name of the environment variable, or empty for values below a top-level table, which have none. */
+    /**
+     * Returns the name of the environment variable that overrides a key; empty if there is none, because the table is
+     * below a top-level table.
+     */
     private String variableName(String key) {
         boolean isTopLevelTable = path.indexOf('.') == path.length() - 1 && path.indexOf('[') < 0;
         return isTopLevelTable
--- a/config/src/main/java/tansypass/config/ValueType.java
+++ b/config/src/main/java/tansypass/config/ValueType.java
@@ -30,27 +30,28 @@
     /** Returns the converted value, or null if it is not allowed. */
     T convert(Object value) {
         T converted = conversion.apply(value);
-        if (converted == null && value instanceof EnvironmentValue given) {
-            // What TOML writes in quotes, such as a duration, is a plain text in the environment.
-            return conversion.apply(given.text());
+        if (converted == null && value instanceof EnvironmentValue variable) {
+            // A value that is quoted in TOML, such as a duration, is not quoted in the environment.
+            return conversion.apply(variable.text());
         }
         return converted;
     }
 
-    /** A string that matches a pattern. */
+    /** Returns the type of strings that match a pattern. */
     static ValueType<String> string(String pattern, String allowed) {
         return new ValueType<>(allowed, value -> value instanceof String s && s.matches(pattern) ? s : null);
     }
 
-    /** An integer from {@code min} to {@code max}. */
+    /** Returns the type of integers from {@code min} to {@code max}. */
     static ValueType<Long> integer(long min, long max) {
         return new ValueType<>("a whole number from " + min + " to " + max, value -> {
-            Long number = value instanceof EnvironmentValue given ? given.toLong() : value instanceof Long l ? l : null;
+            Long number =
+                    value instanceof EnvironmentValue variable ? variable.toLong() : value instanceof Long l ? l : null;
             return number != null && number >= min && number <= max ? number : null;
         });
     }
 
-    /** A number from {@code min} to {@code max}. */
+    /** Returns the type of numbers from {@code min} to {@code max}. */
     static ValueType<Double> number(double min, double max) {
         return new ValueType<>("a number from " + min + " to " + max, value -> {
             Double number = toDouble(value);
@@ -59,23 +60,23 @@
     }
 
     private static Double toDouble(Object value) {
-        if (value instanceof EnvironmentValue given) {
-            return given.toDouble();
+        if (value instanceof EnvironmentValue variable) {
+            return variable.toDouble();
         }
         return value instanceof Number number ? Double.valueOf(number.doubleValue()) : null;
     }
 
-    /** True or false. */
+    /** Returns the type of the values true and false. */
     static ValueType<Boolean> bool() {
         return new ValueType<>("true or false", value -> {
-            if (value instanceof EnvironmentValue given) {
-                return given.toBoolean();
+            if (value instanceof EnvironmentValue variable) {
+                return variable.toBoolean();
             }
             return value instanceof Boolean b ? b : null;
         });
     }
 
-    /** A duration with its unit, such as {@code "250ms"}; all durations are microseconds. */
+    /** Returns the type of durations with a unit, such as {@code "250ms"}, which are converted to microseconds. */
     static ValueType<Long> durationUs(long minUs, long maxUs) {
         String allowed =
                 "a length of time in quotes with us, ms, s, m or h, from \"" + minUs + "us\" to \"" + maxUs + "us\"";
@@ -89,7 +90,7 @@
         });
     }
 
-    /** A constant of an enum by its name in lower case, with hyphens for underscores. */
+    /** Returns the type of the constants of an enum, written in lower case with hyphens for underscores. */
     static <E extends Enum<E>> ValueType<E> constantOf(Class<E> type) {
         List<E> constants = List.of(type.getEnumConstants());
         String names = constants.stream().map(ValueType::externalName).collect(Collectors.joining(", "));
@@ -105,7 +106,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A numeric IPv4 address with a port; names are not resolved. */
+    /** Returns the type of numeric IPv4 addresses with a port; host names are not resolved. */
     static ValueType<InetSocketAddress> address() {
         return new ValueType<>("an address and port, such as \"127.0.0.1:8443\"", ValueType::parseAddress);
     }
@@ -121,7 +122,7 @@
         return port <= MAX_PORT && hasValidOctets ? new InetSocketAddress(host, port) : null;
     }
 
-    /** A list of numeric IPv4 addresses with ports. */
+    /** Returns the type of lists of numeric IPv4 addresses with ports. */
     static ValueType<List<InetSocketAddress>> addresses() {
         return new ValueType<>("a list of addresses and ports, such as [\"127.0.0.1:7946\"]", value -> {
             if (!(value instanceof TomlArray array)) {
@@ -135,7 +136,7 @@
         });
     }
 
-    /** A list of strings that each match a pattern. */
+    /** Returns the type of lists of strings that each match a pattern. */
     static ValueType<List<String>> strings(String pattern, String allowed) {
         return new ValueType<>("a list of texts, each " + allowed, value -> {
             if (!(value instanceof TomlArray array)) {
--- a/config/src/test/java/tansypass/config/ExternalNamesTest.java
+++ b/config/src/test/java/tansypass/config/ExternalNamesTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The keys and words of a node's file, recorded before any rename: a change here breaks deployments. */
+/** The keys and values of a node's file. Existing files depend on them, so they must not change. */
 class ExternalNamesTest {
-    private static final String UNKNOWN_EVERYWHERE = """
+    private static final String FILE_WITH_UNKNOWN_KEYS = """
             x = 1
             [node]
             x = 1
@@ -37,7 +37,7 @@
             group = "x"
             """;
 
-    private static final String RECORDED = """
+    private static final String RECORDED_ERRORS = """
             TANSYPASS_NODE_X: node.x: is not known; allowed here: name, listen, admin, zone, sockets, seed
             F:1: x: is not known; allowed here: node, discovery, service, classes, tenants, servers, log, fleet
             F:5: discovery.x: is not known; allowed here: address
@@ -59,16 +59,16 @@
     private Path folder;
 
     @Test
-    void keysAndWordsStayAsRecorded() throws IOException {
-        String file =
-                Files.writeString(folder.resolve("n.toml"), UNKNOWN_EVERYWHERE).toString();
+    void keysAndValuesStayAsRecorded() throws IOException {
+        String file = Files.writeString(folder.resolve("n.toml"), FILE_WITH_UNKNOWN_KEYS)
+                .toString();
         InvalidConfigException e =
                 assertThrows(InvalidConfigException.class, () -> NodeFile.read(file, Map.of("TANSYPASS_NODE_X", "1")));
-        String allowed = e.getMessage()
+        String errors = e.getMessage()
                 .lines()
                 .map(line -> line.replace(file, "F"))
                 .filter(line -> line.contains("x: is not known") || line.contains("one of"))
                 .collect(Collectors.joining("\n", "", "\n"));
-        assertEquals(RECORDED, allowed);
+        assertEquals(RECORDED_ERRORS, errors);
     }
 }
--- a/config/src/test/java/tansypass/config/NodeFileTest.java
+++ b/config/src/test/java/tansypass/config/NodeFileTest.java
@@ -31,20 +31,20 @@
     @TempDir
     private Path folder;
 
-    private String file(String text) throws IOException {
+    private String writeFile(String text) throws IOException {
         return Files.writeString(folder.resolve("node.toml"), text).toString();
     }
 
-    private List<String> errors(String text, Map<String, String> environment) throws IOException {
-        String file = file(text);
+    private List<String> readErrors(String text, Map<String, String> environment) throws IOException {
+        String file = writeFile(text);
         return assertThrows(InvalidConfigException.class, () -> NodeFile.read(file, environment)).errors().stream()
                 .map(error -> error.toString().replace(file, "F"))
                 .toList();
     }
 
     @Test
-    void usesDefaultsForAllButAddressesAndClasses() throws Exception {
-        NodeFile node = NodeFile.read(file(MINIMAL), Map.of());
+    void usesDefaultsForAllExceptAddressesAndClasses() throws Exception {
+        NodeFile node = NodeFile.read(writeFile(MINIMAL), Map.of());
         assertEquals("node", node.name());
         assertEquals("a", node.zone());
         assertEquals(1_024, node.maxDescriptors());
@@ -57,7 +57,7 @@
 
     @Test
     void reportsAllErrorsInFileOrder() throws IOException {
-        List<String> errors = errors("""
+        List<String> errors = readErrors("""
                 [node]
                 listen = "127.0.0.1:84430"
                 sockets = 3
@@ -97,7 +97,7 @@
     @Test
     void overridesValuesFromEnvironmentAndNamesVariablesInErrors() throws Exception {
         NodeFile node = NodeFile.read(
-                file(MINIMAL),
+                writeFile(MINIMAL),
                 Map.of(
                         "TANSYPASS_NODE_LISTEN",
                         "127.0.0.2:1",
@@ -111,10 +111,10 @@
         assertEquals(
                 List.of("TANSYPASS_NODE_SOCKETS: node.sockets: \"many\" is not allowed; allowed: a whole"
                         + " number from 66 to 1000000"),
-                errors(MINIMAL, Map.of("TANSYPASS_NODE_SOCKETS", "many")));
+                readErrors(MINIMAL, Map.of("TANSYPASS_NODE_SOCKETS", "many")));
     }
 
-    /** The first value has the wrong type, the second is out of range; an empty one means that there is none. */
+    /** The first value has the wrong type. The second is out of range, or empty if the type has no range. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -157,13 +157,13 @@
             })
     void namesEachKeyWithInvalidValue(String key, String wrongType, String outOfRange) throws IOException {
         for (String value : outOfRange == null ? List.of(wrongType) : List.of(wrongType, outOfRange)) {
-            List<String> errors = errors(fileWith(key, value.replace('\'', '"')), Map.of());
+            List<String> errors = readErrors(newFileText(key, value.replace('\'', '"')), Map.of());
             assertTrue(errors.stream().allMatch(error -> error.contains(": " + key + ": ")), errors.toString());
         }
     }
 
-    /** Returns a file with one table of each kind, in which a key has this value. */
-    private static String fileWith(String key, String value) {
+    /** Returns the text of a file with one table of each kind, in which the key has the value. */
+    private static String newFileText(String key, String value) {
         String[] path = key.replace("[0]", "").split("\\.");
         Map<String, Map<String, String>> tables = new LinkedHashMap<>();
         tables.put("node", new LinkedHashMap<>(Map.of("listen", "\"127.0.0.1:8443\"")));
@@ -179,14 +179,14 @@
         tables.forEach((table, values) -> {
             boolean isList = List.of("classes", "tenants", "servers").contains(table);
             text.append(isList ? "[[" + table + "]]\n" : "[" + table + "]\n");
-            values.forEach((name, set) -> text.append(name + " = " + set + "\n"));
+            values.forEach((name, literal) -> text.append(name + " = " + literal + "\n"));
         });
         return text.toString();
     }
 
     @Test
     void reportsTomlSyntaxErrorWithLine() throws IOException {
-        List<String> errors = errors(MINIMAL + "x y\n", Map.of());
+        List<String> errors = readErrors(MINIMAL + "x y\n", Map.of());
         assertTrue(errors.get(0).startsWith("F:9: "), errors.toString());
     }
 
@@ -195,12 +195,12 @@
         assertThrows(InvalidConfigException.class, () -> NodeFile.read(folder + "/none.toml", Map.of()));
         Path bytes = Files.write(folder.resolve("bytes"), new byte[] {(byte) 0xff, 1});
         assertThrows(InvalidConfigException.class, () -> NodeFile.read(bytes.toString(), Map.of()));
-        assertEquals(3, errors("", Map.of()).size());
+        assertEquals(3, readErrors("", Map.of()).size());
     }
 
     @Test
     void formatsErrorAsOneLineWithoutControlCharacters() throws IOException {
-        List<String> errors = errors(MINIMAL.replace("0.4s", "x\\n\\u001b[31m"), Map.of());
+        List<String> errors = readErrors(MINIMAL.replace("0.4s", "x\\n\\u001b[31m"), Map.of());
         assertEquals(1, errors.size());
         assertTrue(errors.get(0).chars().noneMatch(Character::isISOControl), errors.get(0));
     }
