--- a/cli/src/main/java/tansypass/cli/AdminCall.java
+++ b/cli/src/main/java/tansypass/cli/AdminCall.java
@@ -11,9 +11,9 @@
 import java.time.Duration;
 import java.util.regex.Pattern;
 
-/** A call to a node's admin server. */
+/** Sends calls to a node's admin server. */
 final class AdminCall {
-    /** The admin server responds within a second however busy the node is. */
+    /** The time to wait for a connection or a response; even on a busy node a response takes less than a second. */
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private static final Pattern ADDRESS = Pattern.compile("[0-9.]+:[0-9]{1,5}");
@@ -23,8 +23,8 @@
     /**
      * Sends a call and waits for its response.
      *
-     * @throws InvalidAddressException if the address is not numeric, or has no port
-     * @throws NoResponseException if no response was received in time
+     * @throws InvalidAddressException if the text is not a numeric address with a port
+     * @throws NoResponseException if the node can't be reached, or sent no response in time
      * @throws InterruptedIOException if the thread was interrupted; its interrupt status is set
      */
     static HttpResponse<String> send(String address, String method, String path) throws IOException {
@@ -45,7 +45,7 @@
             throw new NoResponseException(address, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw (IOException) new InterruptedIOException("interrupted").initCause(e);
+            throw (IOException) new InterruptedIOException("interrupted while calling " + address).initCause(e);
         }
     }
 }
--- a/cli/src/main/java/tansypass/cli/BenchCommand.java
+++ b/cli/src/main/java/tansypass/cli/BenchCommand.java
@@ -18,7 +18,7 @@
     @Option(
             names = "--runs",
             defaultValue = "5",
-            description = "runs of each, alternating; medians are printed; default 5")
+            description = "number of runs of each measurement, alternating; medians are printed; default 5")
     private int runs;
 
     @Spec
--- a/cli/src/main/java/tansypass/cli/CheckCommand.java
+++ b/cli/src/main/java/tansypass/cli/CheckCommand.java
@@ -35,7 +35,7 @@
             for (ConfigError error : e.errors()) {
                 out.println(error);
             }
-            // Scripts read the summary, so it keeps the word "fault".
+            // Scripts match the word "fault" in the summary.
             out.println(e.errors().size() + (e.errors().size() == 1 ? " fault" : " faults"));
         }
         return Exit.INVALID_INPUT;
--- a/cli/src/main/java/tansypass/cli/ClusterCommand.java
+++ b/cli/src/main/java/tansypass/cli/ClusterCommand.java
@@ -14,7 +14,7 @@
 import tansypass.testbed.report.ClusterPlot;
 import tansypass.testbed.simulation.ClusterMetrics;
 
-/** Measures the detection times and the cost of membership by cluster size. */
+/** Measures the detection times and the cost of the membership protocol for each cluster size. */
 @Command(
         name = "cluster",
         aliases = "fleet",
@@ -22,52 +22,61 @@
         description = "Measure membership in virtual time: how soon all views show a failure, a join and a healed"
                 + " partition, the cost, and the rate of false positives.")
 final class ClusterCommand implements Callable<Integer> {
-    @Option(names = "--nodes", split = ",", defaultValue = "50", description = "sizes; default 50")
+    @Option(
+            names = "--nodes",
+            split = ",",
+            defaultValue = "50",
+            description = "cluster sizes, separated by commas; default 50")
     private List<Integer> sizes;
 
-    @Option(names = "--loss", defaultValue = "0", description = "share of datagrams lost; default 0")
-    private double loss;
+    @Option(names = "--loss", defaultValue = "0", description = "fraction of datagrams that are lost; default 0")
+    private double lossRate;
 
-    @Option(names = "--seeds", defaultValue = "5", description = "runs, with the seeds from 1 on; default 5")
-    private int seeds;
+    @Option(names = "--seeds", defaultValue = "5", description = "number of runs, with seeds from 1 upwards; default 5")
+    private int runCount;
 
-    @Option(names = "--threads", defaultValue = "2", description = "concurrent runs; default 2")
-    private int threads;
+    @Option(names = "--threads", defaultValue = "2", description = "number of concurrent runs; default 2")
+    private int threadCount;
 
     @Option(names = "--baseline", description = "compare with all-to-all heartbeats")
-    private boolean baseline;
+    private boolean withBaseline;
 
     @Option(
             names = "--hour",
-            description = "instead: false positives in an hour, and in one in which a tenth of the nodes"
-                    + " pauses for 1 to 3 s repeatedly")
-    private boolean hour;
+            description = "measure false positives instead: in one hour, and in one hour in which a tenth of the"
+                    + " nodes repeatedly pauses for 1 to 3 s")
+    private boolean measuresHour;
 
     @Mixin
     private JsonOption json;
 
-    @Option(names = "--plot", paramLabel = "OUT", description = "write curves over the sizes to this file as PNG")
-    private Path plot;
+    @Option(names = "--plot", paramLabel = "OUT", description = "plot the results by cluster size to this PNG file")
+    private Path plotFile;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-        if (sizes.stream().anyMatch(n -> n < 3 || n > 5_000) || loss < 0 || loss >= 1 || seeds < 1 || threads < 1) {
+        if (sizes.stream().anyMatch(n -> n < 3 || n > 5_000)
+                || lossRate < 0
+                || lossRate >= 1
+                || runCount < 1
+                || threadCount < 1) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--nodes are from 3 to 5000, --loss from 0 to under 1, --seeds and --threads from 1");
+                    "--nodes must be from 3 to 5000, --loss at least 0 and less than 1,"
+                            + " --seeds and --threads at least 1");
         }
         ClusterMetrics metrics = new ClusterMetrics();
         List<String> kinds = ClusterMetrics.kindNames();
         for (int size : sizes) {
-            for (String kind : baseline ? kinds : kinds.subList(0, 1)) {
-                if (hour) {
-                    metrics.measureFalsePositives(kind, size, loss, false, seeds, threads);
-                    metrics.measureFalsePositives(kind, size, loss, true, seeds, threads);
+            for (String kind : withBaseline ? kinds : kinds.subList(0, 1)) {
+                if (measuresHour) {
+                    metrics.measureFalsePositives(kind, size, lossRate, false, runCount, threadCount);
+                    metrics.measureFalsePositives(kind, size, lossRate, true, runCount, threadCount);
                 } else {
-                    metrics.measure(kind, size, loss, seeds, threads);
+                    metrics.measure(kind, size, lossRate, runCount, threadCount);
                 }
             }
         }
@@ -75,8 +84,8 @@
         out.print(metrics.text());
         out.flush();
         json.write(metrics::json);
-        if (plot != null) {
-            ClusterPlot.write(metrics.rows(), plot.toFile());
+        if (plotFile != null) {
+            ClusterPlot.write(metrics.rows(), plotFile.toFile());
         }
         return Exit.OK;
     }
--- a/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
+++ b/cli/src/main/java/tansypass/cli/ClusterMemberAdapter.java
@@ -8,9 +8,9 @@
 import tansypass.node.process.ClusterView;
 
 /**
- * Connects a node with its cluster member: reports the cluster size from the member's view to the node, from which its
- * quota follows, and whether the node serves clients to the cluster. A view that is too old is not used: the size is
- * then reported as unknown.
+ * Connects a node with its cluster member. Reports the cluster size in the member's view to the node, which derives its
+ * quota from the size, and reports to the cluster whether the node serves clients. If the view is too old, the size is
+ * reported as unknown.
  */
 final class ClusterMemberAdapter implements ClusterView {
     private static final long POLL_INTERVAL_MS = 100;
--- a/cli/src/main/java/tansypass/cli/ConfigReloader.java
+++ b/cli/src/main/java/tansypass/cli/ConfigReloader.java
@@ -13,8 +13,8 @@
 import tansypass.node.configuration.NodeConfig;
 
 /**
- * Reloads the configuration file of a running node: applies what may change, and logs what needs a restart.
- * Thread-safe.
+ * Reloads the configuration file of a running node. Applies the values that may change at runtime, and logs the changed
+ * keys that need a restart. Thread-safe.
  */
 final class ConfigReloader implements ConfigSource {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
@@ -23,20 +23,20 @@
     private final Map<String, String> environment;
     private NodeFile current;
 
-    /** Creates a reloader for a node that starts with the initial configuration. */
+    /** Creates a reloader for a node that starts with {@code initial}. */
     ConfigReloader(String file, Map<String, String> environment, NodeFile initial) {
         this.file = file;
         this.environment = environment;
         current = initial;
     }
 
-    /** Returns the initial configuration, which has been read. */
+    /** Returns the current configuration without reading the file. */
     @Override
     public synchronized NodeConfig load() {
         return NodeFileConverter.toNodeConfig(current);
     }
 
-    /** Reads the file again; if it is invalid, the previous configuration stays current. */
+    /** Reads the file again; if the file is invalid, the previous configuration stays current. */
     @Override
     public synchronized NodeConfig reload() throws InvalidNodeConfigException {
         NodeFile loaded = readFile();
@@ -45,14 +45,14 @@
             LOG.atWarn()
                     .addKeyValue("event", "reload.needs-restart")
                     .addKeyValue("keys", String.join(",", keysNeedingRestart))
-                    .log("these keys have changed and need a restart");
+                    .log("changed keys need a restart");
         }
         Logs.setLevel(loaded.log().level());
         current = loaded;
         LOG.atInfo()
                 .addKeyValue("event", "reload.taken")
                 .addKeyValue("file", file)
-                .log("file read again");
+                .log("configuration file reloaded");
         return NodeFileConverter.toNodeConfig(loaded);
     }
 
--- a/cli/src/main/java/tansypass/cli/DemoCommand.java
+++ b/cli/src/main/java/tansypass/cli/DemoCommand.java
@@ -20,16 +20,16 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
 
-/** Runs a small scenario and prints a row each second. */
+/** Runs a small scenario on real processes and prints a row per second. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description = "Run four nodes, twelve servers and load on loopback for half a minute, kill a node and"
                 + " cut links, and show each second as it goes.")
 final class DemoCommand implements Callable<Integer> {
-    private static final String ROW = "%4s  %-5s %8s %8s %8s %8s %8s %8s %7s%n";
+    private static final String ROW_FORMAT = "%4s  %-5s %8s %8s %8s %8s %8s %8s %7s%n";
 
-    @Option(names = "--seed", defaultValue = "1", description = "seed of all random choices; default 1")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of all random numbers; default 1")
     private long seed;
 
     @Spec
@@ -43,7 +43,7 @@
         out.println(scenario.nodes().count() + " nodes, " + scenario.servers().count() + " servers, "
                 + scenario.clients().requestsPerS() + " requests a second; faults:");
         scenario.faults().forEach(fault -> out.println("  " + fault));
-        out.printf(ROW, "s", "nodes", "served", "late", "refused", "failed", "no time", "no way", "broken");
+        out.printf(ROW_FORMAT, "s", "nodes", "served", "late", "refused", "failed", "no time", "no way", "broken");
         out.flush();
         InvariantChecker checker = ScenarioRunner.runOnProcesses(
                 scenario,
@@ -60,13 +60,13 @@
         return report.hasNoViolations() ? Exit.OK : Exit.NEGATIVE;
     }
 
-    /** Prints one second; {@code serving} has for each node whether it serves clients, printed as + or -. */
+    /** Prints the row of one second; {@code serving} contains a value per node, printed as + if it serves clients. */
     private static void printRow(
             PrintWriter out, long second, Map<End, Long> ends, List<Boolean> serving, int violations) {
         StringBuilder nodes = new StringBuilder();
         serving.forEach(isServing -> nodes.append(isServing ? '+' : '-'));
         out.printf(
-                ROW,
+                ROW_FORMAT,
                 second,
                 nodes,
                 count(ends, End.SERVED),
--- a/cli/src/main/java/tansypass/cli/DrainCommand.java
+++ b/cli/src/main/java/tansypass/cli/DrainCommand.java
@@ -12,7 +12,7 @@
 /** Starts or ends draining of a node. */
 @Command(name = "drain", mixinStandardHelpOptions = true, description = "Start or end draining of a node.")
 final class DrainCommand implements Callable<Integer> {
-    /** Whether to start or end draining; the argument in upper or lower case. */
+    /** The argument that starts or ends draining, in upper or lower case. */
     enum Word {
         ON,
         OFF
--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -23,7 +23,7 @@
 import tansypass.testbed.scenario.ScenarioToml;
 import tansypass.testbed.simulation.SimulationRun;
 
-/** Searches for fault schedules that violate an invariant. */
+/** Searches for a fault schedule that violates an invariant. */
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
@@ -32,20 +32,20 @@
 final class ExploreCommand implements Callable<Integer> {
     private static final long PROGRESS_INTERVAL_NS = 5_000_000_000L;
 
-    @Parameters(paramLabel = "FILE", description = "the scenario; its own faults are kept")
+    @Parameters(paramLabel = "FILE", description = "the scenario (TOML); random faults are added to its own")
     private String file;
 
     @Option(
             names = "--budget",
             defaultValue = "60s",
             converter = BudgetConverter.class,
-            description = "duration, such as 60s or 10m; default 60s")
+            description = "time limit of the search, such as 60s or 10m; default 60s")
     private long budgetMs;
 
-    @Option(names = "--seed", defaultValue = "1", description = "the first seed; default 1")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the first schedule; default 1")
     private long seed;
 
-    @Option(names = "--most", defaultValue = "2147483647", description = "number of schedules at most")
+    @Option(names = "--most", defaultValue = "2147483647", description = "maximum number of schedules")
     private int maxSchedules;
 
     @Option(names = "--threads", defaultValue = "0", description = "number of threads; by default one per core")
@@ -56,15 +56,15 @@
             paramLabel = "DIR",
             defaultValue = "scenarios/found",
             description = "directory for a schedule that violates an invariant; default scenarios/found")
-    private Path keep;
+    private Path keepDirectory;
 
     @Option(names = "--json", paramLabel = "OUT", description = "write the result to this file as JSON")
-    private Path json;
+    private Path jsonFile;
 
     @Spec
     private CommandSpec spec;
 
-    /** Converts seconds or minutes, such as {@code 60s}, to milliseconds. */
+    /** Converts a number of seconds or minutes, such as {@code 60s}, to milliseconds. */
     static final class BudgetConverter implements ITypeConverter<Long> {
         @Override
         public Long convert(String text) {
@@ -89,8 +89,8 @@
         PrintWriter out = spec.commandLine().getOut();
         out.printf(
                 "%s: %d schedules in %.1f s%n", scenario.name(), result.tried(), (System.nanoTime() - startNs) / 1e9);
-        if (json != null) {
-            Files.writeString(json, toJson(scenario, result).toString());
+        if (jsonFile != null) {
+            Files.writeString(jsonFile, toJson(scenario, result).toString());
         }
         if (result.found().isEmpty()) {
             out.println("no rule was broken");
@@ -101,25 +101,25 @@
         return Exit.NEGATIVE;
     }
 
-    /** Writes the smallest schedule to a file and prints the violation. */
+    /** Writes the shrunk schedule to a file and prints the violation. */
     private void report(Scenario scenario, ScheduleExplorer.Found found, PrintWriter out) throws IOException {
-        Path kept = keptFile(scenario, found);
-        Files.createDirectories(keep);
-        Files.writeString(kept, ScenarioToml.of(found.smallest()));
-        // Scripts read this line, as they do that of testbed run.
+        Path keptFile = resolveKeptFile(scenario, found);
+        Files.createDirectories(keepDirectory);
+        Files.writeString(keptFile, ScenarioToml.of(found.smallest()));
+        // Scripts match RULE BROKEN here and in the output of "testbed run".
         out.println("RULE BROKEN " + found.violation());
         for (Fault fault : found.smallest().faults()) {
             out.println("  " + fault);
         }
-        out.println("again with: ./tansypass testbed run " + kept + " --seed " + found.seed() + " --virtual");
+        out.println("again with: ./tansypass testbed run " + keptFile + " --seed " + found.seed() + " --virtual");
         out.flush();
     }
 
-    private Path keptFile(Scenario scenario, ScheduleExplorer.Found found) {
-        return keep.resolve(scenario.name() + "-" + found.seed() + ".toml");
+    private Path resolveKeptFile(Scenario scenario, ScheduleExplorer.Found found) {
+        return keepDirectory.resolve(scenario.name() + "-" + found.seed() + ".toml");
     }
 
-    /** Returns what prints progress now and then, on standard error, apart from the result. */
+    /** Returns a callback that prints progress to standard error, so that standard output has only the result. */
     private IntConsumer newProgressPrinter(long startNs) {
         PrintWriter err = spec.commandLine().getErr();
         AtomicLong nextNs = new AtomicLong(startNs + PROGRESS_INTERVAL_NS);
@@ -144,7 +144,7 @@
             violation.addProperty("at_us", found.violation().atUs());
             violation.addProperty("what", found.violation().description());
             violation.addProperty("seed", found.seed());
-            violation.addProperty("kept", keptFile(scenario, found).toString());
+            violation.addProperty("kept", resolveKeptFile(scenario, found).toString());
             summary.add("found", violation);
         });
         return summary;
--- a/cli/src/main/java/tansypass/cli/InvalidAddressException.java
+++ b/cli/src/main/java/tansypass/cli/InvalidAddressException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown for a text that is no address and port; the message quotes it. */
+/** Thrown if a text is not a numeric address with a port; the message contains the text. */
 final class InvalidAddressException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/tansypass/cli/JsonOption.java
+++ b/cli/src/main/java/tansypass/cli/JsonOption.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 import picocli.CommandLine.Option;
 
-/** The option {@code --json} of commands that can write their results to a file as well. */
+/** The option {@code --json} of commands that can also write their results to a file. */
 final class JsonOption {
     @Option(names = "--json", paramLabel = "OUT", description = "write the results to this file as JSON")
     private Path file;
--- a/cli/src/main/java/tansypass/cli/Logs.java
+++ b/cli/src/main/java/tansypass/cli/Logs.java
@@ -17,16 +17,19 @@
 import tansypass.config.NodeFile.LogSettings;
 
 /**
- * Logging of this process: lines on standard error through a bounded queue that never blocks the caller. Lines that do
- * not fit are dropped and counted.
+ * Configures the logging of this process. Lines are written to standard error through a bounded queue that never blocks
+ * the caller. Lines that do not fit into the queue are dropped and counted.
  */
 final class Logs {
-    /** Time, level, thread, logger, message, fields. Control characters are replaced, so that a line stays one line. */
+    /**
+     * The format of a line: time, level, thread, logger, message, fields and exception. Control characters are replaced
+     * so that a message cannot break its line.
+     */
     private static final String LINE_PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX,UTC} %-5level [%thread] %logger{0}:"
             + " %replace(%msg){'\\p{Cntrl}', '?'} %replace(%kvp){'\\p{Cntrl}', '?'}"
             + "%replace(%replace(%ex){'[\\r\\n\\t]+', ' | '}){'\\p{Cntrl}', '?'}%nopex%n";
 
-    private static final AtomicLong DROPPED = new AtomicLong();
+    private static final AtomicLong DROPPED_LINES = new AtomicLong();
 
     private Logs() {}
 
@@ -50,7 +53,7 @@
         setLevel(settings.level());
     }
 
-    /** Changes the lowest level that is logged. */
+    /** Changes the lowest level of log lines that are written. */
     static void setLevel(LogLevel level) {
         ((LoggerContext) LoggerFactory.getILoggerFactory())
                 .getLogger(Logger.ROOT_LOGGER_NAME)
@@ -59,7 +62,7 @@
 
     /** Returns the number of lines dropped since the start. */
     static long countDropped() {
-        return DROPPED.get();
+        return DROPPED_LINES.get();
     }
 
     private static Encoder<ILoggingEvent> newEncoder(LoggerContext context, LogFormat format) {
@@ -88,7 +91,7 @@
         @Override
         protected void append(ILoggingEvent event) {
             if (getRemainingCapacity() == 0) {
-                DROPPED.incrementAndGet();
+                DROPPED_LINES.incrementAndGet();
             } else {
                 super.append(event);
             }
--- a/cli/src/main/java/tansypass/cli/Main.java
+++ b/cli/src/main/java/tansypass/cli/Main.java
@@ -14,7 +14,8 @@
 
     /** Runs one command and exits with its code, see {@link Exit}. */
     public static void main(String[] args) {
-        // Commands write their output themselves; until a file says otherwise, only warnings are logged.
+        // Commands print their output themselves and do not log it. Until a configuration file sets the level, only
+        // warnings are logged.
         Logs.configure(new LogSettings(LogFormat.TEXT, LogLevel.WARN, LOG_QUEUE_LINES));
         int code = commandLine().execute(args);
         if (code != Exit.KEEP_RUNNING) {
@@ -23,8 +24,8 @@
     }
 
     /**
-     * Creates the command line. What a command throws becomes an error on standard error and an exit code: all errors
-     * of an invalid file, one per line, and one line for any other exception.
+     * Creates the command line. An exception that a command throws is printed to standard error and sets the exit code:
+     * an invalid file prints one line per error, any other exception prints one line.
      */
     static CommandLine commandLine() {
         return new CommandLine(new Tansypass())
--- a/cli/src/main/java/tansypass/cli/MembersCommand.java
+++ b/cli/src/main/java/tansypass/cli/MembersCommand.java
@@ -11,18 +11,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints a member's view of the cluster, or where the views of all members differ. */
+/** Prints a member's view of the cluster and, with {@code --all}, how the views of its members differ. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description = "Print a member's view of the cluster. Exit code 3 with --all: views differ.")
 final class MembersCommand implements Callable<Integer> {
-    private static final String ROW = "%-16s %-9s %-10s %-9s %15s %5s %9s  %s%n";
+    private static final String ROW_FORMAT = "%-16s %-9s %-10s %-9s %15s %5s %9s  %s%n";
 
     @Parameters(paramLabel = "FLEET", description = "the member's cluster address, such as 127.0.0.1:7946")
     private String address;
 
-    @Option(names = "--all", description = "compare the views of all its members")
+    @Option(names = "--all", description = "compare the views of all present members")
     private boolean all;
 
     @Spec
@@ -42,10 +42,10 @@
         out.printf(
                 "%s of %s, %s, view %s version %s%n",
                 view.viewer(), view.deployment(), view.standing(), view.digest(), view.version());
-        out.printf(ROW, "member", "state", "zone", "role", "generation", "inc", "for, s", "address");
+        out.printf(ROW_FORMAT, "member", "state", "zone", "role", "generation", "inc", "for, s", "address");
         for (MembershipSnapshot.Entry entry : view.entries()) {
             out.printf(
-                    ROW,
+                    ROW_FORMAT,
                     entry.name(),
                     entry.state(),
                     entry.zone(),
@@ -61,7 +61,10 @@
         return ms.matches("[0-9]{1,15}") ? String.format(Locale.ROOT, "%.1f", Long.parseLong(ms) / 1e3) : ms;
     }
 
-    /** Fetches the views of all present members, and prints about whom they differ and who did not respond. */
+    /**
+     * Fetches the views of all present members. Prints the members about which views differ, and the members that did
+     * not respond.
+     */
     private static int compareAllViews(MembershipSnapshot first, PrintWriter out) {
         ViewComparison comparison = fetchAllViews(first);
         List<ViewComparison.Disagreement> disagreements = comparison.disagreements();
--- a/cli/src/main/java/tansypass/cli/Membership.java
+++ b/cli/src/main/java/tansypass/cli/Membership.java
@@ -17,13 +17,13 @@
 import tansypass.cluster.transport.ClusterMember;
 import tansypass.config.NodeFile;
 
-/** Starts this node's cluster membership. If it fails, the node serves without it. */
+/** Starts this node's membership in a cluster. If the start fails, the node serves clients without membership. */
 final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
     private Membership() {}
 
-    /** Starts to join the cluster; returns null if none is configured, or if the address can't be bound. */
+    /** Starts to join the cluster. Returns null if no cluster is configured or the listen address can't be bound. */
     static ClusterMember join(NodeFile file, Clock wallClock) {
         if (file.cluster() == null) {
             return null;
@@ -57,19 +57,20 @@
             member.close();
             return null;
         }
-        // Others are notified when draining starts; the last responses take longer than that.
+        // Shutdown hooks run concurrently: this one notifies other members as soon as the node starts to drain. The
+        // node's last responses take longer than the notification.
         Runtime.getRuntime().addShutdownHook(new Thread(member::leave, "leave"));
         return member;
     }
 
-    /** Logs changes of the view; those that keep a member's state only at debug level. */
+    /** Logs changes of the view. Changes that keep a member's state are logged at debug level. */
     private static final class LoggingListener implements MemberListener {
         @Override
         public void onUpdate(Optional<Member> before, Member after) {
-            boolean isUnchangedState =
+            boolean isStateUnchanged =
                     before.isPresent() && after.state() == before.get().state();
             withEvent(
-                            isUnchangedState ? LOG.atDebug() : LOG.atInfo(),
+                            isStateUnchanged ? LOG.atDebug() : LOG.atInfo(),
                             after.state().name().toLowerCase(Locale.ROOT),
                             after)
                     .log("member state changed");
@@ -80,9 +81,9 @@
             withEvent(LOG.atInfo(), "forgotten", reaped).log("member removed from view");
         }
 
-        /** Adds the name of the event, which scripts read, and the member. */
-        private static LoggingEventBuilder withEvent(LoggingEventBuilder line, String event, Member member) {
-            return line.addKeyValue("event", "member." + event)
+        /** Adds the name of the event, which scripts match, and the fields of the member. */
+        private static LoggingEventBuilder withEvent(LoggingEventBuilder builder, String event, Member member) {
+            return builder.addKeyValue("event", "member." + event)
                     .addKeyValue("member", member.identity().name())
                     .addKeyValue("generation", member.identity().generation())
                     .addKeyValue("incarnation", member.incarnation())
--- a/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
+++ b/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
@@ -11,8 +11,8 @@
 import tansypass.cluster.transport.ClusterTransport;
 
 /**
- * A member's view of the cluster, fetched from its cluster address. A peer may send anything: a missing value reads as
- * "?", and control characters are replaced.
+ * A member's view of the cluster, fetched from its cluster address. The response is not trusted: a missing value reads
+ * as "?", and control characters are replaced.
  */
 final class MembershipSnapshot {
     private static final String MISSING = "?";
@@ -28,7 +28,7 @@
      * Fetches the view of the member at a cluster address.
      *
      * @throws NotAMemberException if the response is not a JSON object
-     * @throws IOException if there is no response, see {@link AdminCall#send}
+     * @throws IOException if the address is invalid or there is no response, see {@link AdminCall#send}
      */
     static MembershipSnapshot fetch(String address) throws IOException {
         String body = AdminCall.send(address, "GET", ClusterTransport.VIEW_PATH).body();
@@ -61,7 +61,7 @@
         return getText(json, "deployment");
     }
 
-    /** Returns whether the viewer is joining, has joined, or is superseded. */
+    /** Returns whether the viewer is joining, has joined, or is superseded by another process of its name. */
     String standing() {
         return getText(json, "standing");
     }
@@ -71,7 +71,7 @@
         return getText(json, "digest");
     }
 
-    /** Returns the version of the view, which grows with each of its changes. */
+    /** Returns the version of the view, which grows with each change of the view. */
     String version() {
         return getText(json, "version");
     }
@@ -85,7 +85,7 @@
         return entries;
     }
 
-    /** What a view has on one member. */
+    /** The entry of one member in a view. */
     record Entry(JsonObject json) {
 
         String name() {
@@ -96,7 +96,7 @@
             return getText(json, "state");
         }
 
-        /** Returns whether the member is present, which a suspect still is. */
+        /** Returns whether the member is present; a suspected member is still present. */
         boolean isPresent() {
             return PRESENT_STATES.contains(state());
         }
@@ -122,12 +122,12 @@
             return getText(json, "at");
         }
 
-        /** Returns how long the entry has not changed, milliseconds, as the page has it. */
+        /** Returns the time in milliseconds since the entry last changed, as the text in the response. */
         String unchangedMsText() {
             return getText(json, "for_ms");
         }
 
-        /** Returns how long the entry has not changed, milliseconds; 0 if the page does not have it. */
+        /** Returns the time in milliseconds since the entry last changed; 0 if the response does not contain it. */
         long unchangedMs() {
             return json.has("for_ms") ? json.get("for_ms").getAsLong() : 0;
         }
--- a/cli/src/main/java/tansypass/cli/MetricsPage.java
+++ b/cli/src/main/java/tansypass/cli/MetricsPage.java
@@ -18,18 +18,19 @@
 import tansypass.cluster.transport.ClusterMember;
 
 /**
- * The page {@code /metrics} in Prometheus' text format: the node's metrics as in {@code /_vars}, dropped log lines,
- * cluster membership and the JVM. Called on the admin event loop only.
+ * The page {@code /metrics} in Prometheus' text format: the node's metrics as in {@code /_vars}, the number of
+ * dropped log lines, and metrics of the cluster membership and the JVM. Not thread-safe: called on the admin event loop
+ * only.
  */
 final class MetricsPage implements UnaryOperator<String> {
-    private static final Pattern REQUESTS = Pattern.compile("node\\.requests\\.(.+)\\.(served|refused|failed)");
+    private static final Pattern REQUEST_METRIC = Pattern.compile("node\\.requests\\.(.+)\\.(served|refused|failed)");
 
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private Map<String, Long> nodeMetrics = Map.of();
 
-    /** Creates the page of a node; {@code member} is null for a node without a cluster. */
+    /** Creates the page of a node; {@code member} is null for a node that is not a member of a cluster. */
     MetricsPage(ClusterMember member) {
         addRequestMetrics();
         CounterWithCallback.builder()
@@ -52,7 +53,7 @@
                 .labelNames("class", "outcome")
                 .help("Requests answered, by class and outcome.")
                 .callback(metric -> nodeMetrics.forEach((name, value) -> {
-                    Matcher request = REQUESTS.matcher(name);
+                    Matcher request = REQUEST_METRIC.matcher(name);
                     if (request.matches()) {
                         metric.call(value, request.group(1), request.group(2));
                     }
@@ -114,7 +115,7 @@
         return nodeMetrics.getOrDefault("node." + name, 0L);
     }
 
-    /** Formats the page; {@code vars} is the text of {@code /_vars}. */
+    /** Formats the page; {@code vars} is the response body of {@code /_vars}. */
     @Override
     public String apply(String vars) {
         nodeMetrics = vars.lines()
--- a/cli/src/main/java/tansypass/cli/NoResponseException.java
+++ b/cli/src/main/java/tansypass/cli/NoResponseException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown if a node sent no response in time, or can't be reached; the message names its address. */
+/** Thrown if a node can't be reached or sent no response in time; the message contains its address. */
 final class NoResponseException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/tansypass/cli/NodeCommand.java
+++ b/cli/src/main/java/tansypass/cli/NodeCommand.java
@@ -11,7 +11,7 @@
 import tansypass.config.InvalidConfigException;
 import tansypass.config.NodeFile;
 
-/** Runs one node until SIGTERM. */
+/** Runs one node until it receives SIGTERM. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
@@ -20,46 +20,49 @@
     @Parameters(paramLabel = "FILE", description = "the node's TOML file")
     private String file;
 
-    @Option(names = "--with-parent", hidden = true, description = "end at once when standard input closes")
+    @Option(names = "--with-parent", hidden = true, description = "end immediately when standard input closes")
     private boolean withParent;
 
     @Option(
             names = "--wall-clock-offset",
             hidden = true,
             defaultValue = "0",
-            description = "milliseconds that this process's wall clock is off, as after a step; for the testbed")
-    private long clockOffsetMs;
+            description = "offset in milliseconds of this process's wall clock, to simulate a clock step in tests")
+    private long wallClockOffsetMs;
 
     @Override
     public Integer call() throws InvalidConfigException {
         NodeFile initial = NodeFile.read(file, System.getenv());
         Logs.configure(initial.log());
         if (withParent) {
-            haltWithParent();
+            haltWhenParentEnds();
         }
         ConfigReloader reloader = new ConfigReloader(file, System.getenv(), initial);
         ClusterMember member =
-                Membership.join(initial, Clock.offset(Clock.systemUTC(), Duration.ofMillis(clockOffsetMs)));
+                Membership.join(initial, Clock.offset(Clock.systemUTC(), Duration.ofMillis(wallClockOffsetMs)));
         tansypass.node.Main.serve(
                 reloader, new MetricsPage(member), member == null ? null : new ClusterMemberAdapter(member));
         return Exit.KEEP_RUNNING;
     }
 
-    /** Halts when the parent is gone, without a graceful shutdown, as after SIGKILL. */
-    private static void haltWithParent() {
-        Thread watch = new Thread(
+    /**
+     * Starts a thread that halts this process when the parent process has ended, which closes standard input. As with
+     * SIGKILL, there is no graceful shutdown.
+     */
+    private static void haltWhenParentEnds() {
+        Thread watcher = new Thread(
                 () -> {
                     try {
                         while (System.in.read() >= 0) {
-                            // Nothing is ever sent.
+                            // The parent sends nothing.
                         }
                     } catch (IOException e) {
-                        // Handled like the end of the input.
+                        // Treated as the end of the input.
                     }
                     Runtime.getRuntime().halt(Exit.FAILED);
                 },
                 "parent");
-        watch.setDaemon(true);
-        watch.start();
+        watcher.setDaemon(true);
+        watcher.start();
     }
 }
--- a/cli/src/main/java/tansypass/cli/NodeFileConverter.java
+++ b/cli/src/main/java/tansypass/cli/NodeFileConverter.java
@@ -16,13 +16,13 @@
 import tansypass.node.endpoint.EndpointList;
 import tansypass.node.endpoint.EndpointList.Endpoint;
 
-/** Converts a node's configuration file to the configuration that the node takes. */
+/** Converts a node's configuration file to a {@link NodeConfig}. */
 final class NodeFileConverter {
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private NodeFileConverter() {}
 
-    /** Returns the configuration; without a seed in the file, it has a random one. */
+    /** Returns the configuration; its seed is random if the file has none. */
     static NodeConfig toNodeConfig(NodeFile file) {
         return new NodeConfig(
                 file.listen(),
@@ -35,7 +35,7 @@
     }
 
     private static long toSeed(String seed) {
-        return seed.isEmpty() ? new SecureRandom().nextLong() : Long.parseUnsignedLong(seed, HEXADECIMAL);
+        return seed.isEmpty() ? new SecureRandom().nextLong() : Long.parseUnsignedLong(seed, HEX_RADIX);
     }
 
     private static EndpointList toEndpointList(List<ServerConfig> servers) {
--- a/cli/src/main/java/tansypass/cli/NotAMemberException.java
+++ b/cli/src/main/java/tansypass/cli/NotAMemberException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown if what responds at an address does not send the view of a cluster member; the message names the address. */
+/** Thrown if the response from an address is not the view of a cluster member; the message contains the address. */
 final class NotAMemberException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/tansypass/cli/ScenarioRunner.java
+++ b/cli/src/main/java/tansypass/cli/ScenarioRunner.java
@@ -12,16 +12,16 @@
 import tansypass.testbed.process.Progress;
 import tansypass.testbed.scenario.Scenario;
 
-/** Runs scenarios on processes of this program, with a directory for their files and logs. */
+/** Runs scenarios on processes of this program, which write their files and logs to one directory. */
 final class ScenarioRunner {
     private ScenarioRunner() {}
 
     /**
      * Runs a scenario on real processes.
      *
-     * @param keepDirectory for files and logs; if empty, a temporary directory, which is deleted if no invariant was
-     *     violated
-     * @param out receives the name of the directory if it is kept
+     * @param keepDirectory the directory of files and logs; if empty, a temporary directory, which is deleted if no
+     *     invariant was violated
+     * @param out receives a line with the path of the directory if the directory is kept
      * @throws InsufficientResourcesException if the machine has too few resources
      * @throws IOException if the run could not be started or completed, see {@link ProcessRun#run}
      */
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -49,23 +49,24 @@
             mixinStandardHelpOptions = true,
             description = "Run a scenario and check invariants. Exit code 3: one was violated.")
     static final class Run implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "the scenario, TOML")
+        @Parameters(paramLabel = "FILE", description = "the scenario (TOML)")
         private String file;
 
-        @Option(names = "--seed", defaultValue = "1", description = "seed of all random choices; default 1")
+        @Option(names = "--seed", defaultValue = "1", description = "seed of all random numbers; default 1")
         private long seed;
 
         @Mixin
         private JsonOption json;
 
-        @Option(names = "--virtual", description = "in virtual time: the same seed gives the same trace")
-        private boolean virtual;
+        @Option(names = "--virtual", description = "run in virtual time, where the same seed gives the same trace")
+        private boolean inVirtualTime;
 
         @Option(
                 names = "--keep",
                 paramLabel = "DIR",
-                description = "keep the nodes' files and logs here; by default only if an invariant was violated")
-        private Path keep;
+                description = "keep the nodes' files and logs in this directory; by default they are kept only if"
+                        + " an invariant was violated")
+        private Path keepDirectory;
 
         @Spec
         private CommandSpec spec;
@@ -75,11 +76,13 @@
                 throws InvalidConfigException, IOException, InsufficientResourcesException, InterruptedException {
             Scenario scenario = ScenarioFile.read(file);
             PrintWriter out = spec.commandLine().getOut();
-            String command = "./tansypass testbed run " + file + " --seed " + seed + (virtual ? " --virtual" : "");
+            String command =
+                    "./tansypass testbed run " + file + " --seed " + seed + (inVirtualTime ? " --virtual" : "");
             long startNs = System.nanoTime();
-            InvariantChecker checker = virtual
+            InvariantChecker checker = inVirtualTime
                     ? SimulationRun.run(scenario, seed)
-                    : ScenarioRunner.runOnProcesses(scenario, seed, Optional.ofNullable(keep), Progress.NONE, out);
+                    : ScenarioRunner.runOnProcesses(
+                            scenario, seed, Optional.ofNullable(keepDirectory), Progress.NONE, out);
             Report report = Report.of(scenario, seed, command, checker);
             out.print(report.toText());
             out.printf("took %.2f s%n", (System.nanoTime() - startNs) / 1e9);
--- a/cli/src/main/java/tansypass/cli/Version.java
+++ b/cli/src/main/java/tansypass/cli/Version.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build wrote into the jar. */
+/** Reads the version of the program, which the build writes into the manifest of the jar. */
 final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/cli/src/main/java/tansypass/cli/ViewComparison.java
+++ b/cli/src/main/java/tansypass/cli/ViewComparison.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Compares the views that several members, the viewers, have of the cluster. */
+/** Compares the views of the cluster that several members have. A member whose view is compared is called a viewer. */
 final class ViewComparison {
     private static final String UNKNOWN_STATE = "unknown";
 
     /** For each viewer, the state and generation of every member in its view, by name. */
     private final Map<String, Map<String, String>> statesByViewer = new TreeMap<>();
-    /** For each member, the shortest time for which an entry of it has not changed. */
+    /** For each member, the shortest time in milliseconds for which any viewer's entry has not changed. */
     private final Map<String, Long> unchangedMs = new HashMap<>();
 
     private final List<String> unreachable = new ArrayList<>();
@@ -22,12 +22,13 @@
     /**
      * A member about which views differ.
      *
-     * @param unchangedMs for how long no viewer has changed its entry, and so they have disagreed at least
-     * @param viewersByState the viewers that see it in the same state and generation
+     * @param unchangedMs the time in milliseconds for which no viewer's entry of this member has changed; the views
+     *     have differed for at least this time
+     * @param viewersByState the viewers, by the state and generation that their entries have
      */
     record Disagreement(String member, long unchangedMs, Map<String, List<String>> viewersByState) {}
 
-    /** Adds a view. */
+    /** Adds the view of a viewer. */
     void add(String viewer, List<MembershipSnapshot.Entry> entries) {
         Map<String, String> states = new LinkedHashMap<>();
         for (MembershipSnapshot.Entry entry : entries) {
@@ -42,7 +43,7 @@
         unreachable.add(viewer);
     }
 
-    /** Returns the number of views. */
+    /** Returns the number of views that were added. */
     int viewCount() {
         return statesByViewer.size();
     }
@@ -52,7 +53,7 @@
         return List.copyOf(unreachable);
     }
 
-    /** Returns the members about which views differ, by name. */
+    /** Returns the members about which views differ, sorted by name. */
     List<Disagreement> disagreements() {
         TreeSet<String> members = new TreeSet<>();
         statesByViewer.values().forEach(states -> members.addAll(states.keySet()));
--- a/cli/src/main/java/tansypass/cli/WatchCommand.java
+++ b/cli/src/main/java/tansypass/cli/WatchCommand.java
@@ -14,27 +14,30 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the metrics of some nodes repeatedly, one row per node. */
+/** Prints the metrics of nodes at intervals, one row per node. */
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
         description = "Print the state and the increase of the metrics of some nodes repeatedly, until Ctrl-C.")
 final class WatchCommand implements Callable<Integer> {
-    private static final String ROW = "%-21s %-10s %9s %9s %9s %9s %9s %8s%n";
+    private static final String ROW_FORMAT = "%-21s %-10s %9s %9s %9s %9s %9s %8s%n";
 
     @Parameters(arity = "1..*", paramLabel = "ADMIN", description = "the nodes' admin addresses")
     private List<String> addresses;
 
-    @Option(names = "--every", defaultValue = "1", paramLabel = "S", description = "seconds; default 1")
-    private int everyS;
+    @Option(names = "--every", defaultValue = "1", paramLabel = "S", description = "seconds between rounds; default 1")
+    private int intervalS;
 
-    @Option(names = "--count", defaultValue = "2147483647", paramLabel = "N", description = "rounds at most")
-    private int count;
+    @Option(names = "--count", defaultValue = "2147483647", paramLabel = "N", description = "maximum number of rounds")
+    private int maxRounds;
 
     @Spec
     private CommandSpec spec;
 
-    /** The metrics of a node at one time; if there are none, {@code state} is the reason. */
+    /**
+     * The state and the metrics of a node at one time. If the node does not respond, the metrics are empty and
+     * {@code state} is the reason.
+     */
     private record Sample(String state, Map<String, Long> metrics) {
         long sum(String suffix) {
             return metrics.entrySet().stream()
@@ -44,7 +47,7 @@
         }
 
         long increaseSince(Optional<Sample> previous, String suffix) {
-            // A restarted process counts from 0.
+            // A restarted process counts from 0 again, so its sum can be less than before.
             return Math.max(
                     0, sum(suffix) - previous.map(sample -> sample.sum(suffix)).orElse(0L));
         }
@@ -54,20 +57,20 @@
     public Integer call() throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         Map<String, Sample> previous = new HashMap<>();
-        boolean answered = false;
-        for (int round = 0; round < count; round++) {
+        boolean hasAnyResponse = false;
+        for (int round = 0; round < maxRounds; round++) {
             if (round > 0) {
-                TimeUnit.SECONDS.sleep(everyS);
+                TimeUnit.SECONDS.sleep(intervalS);
             }
-            out.printf(ROW, "node", "state", "served", "refused", "failed", "attempts", "in flight", "servers");
+            out.printf(ROW_FORMAT, "node", "state", "served", "refused", "failed", "attempts", "in flight", "servers");
             for (String address : addresses) {
                 Sample current = takeSample(address);
-                answered |= !current.metrics.isEmpty();
+                hasAnyResponse |= !current.metrics.isEmpty();
                 printRow(out, address, current, Optional.ofNullable(previous.put(address, current)));
             }
             out.flush();
         }
-        return answered ? Exit.OK : Exit.FAILED;
+        return hasAnyResponse ? Exit.OK : Exit.FAILED;
     }
 
     private static void printRow(PrintWriter out, String address, Sample current, Optional<Sample> previous) {
@@ -76,7 +79,7 @@
             return;
         }
         out.printf(
-                ROW,
+                ROW_FORMAT,
                 address,
                 current.state,
                 current.increaseSince(previous, ".served"),
--- a/cli/src/test/java/tansypass/cli/AdminCommandsTest.java
+++ b/cli/src/test/java/tansypass/cli/AdminCommandsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import picocli.CommandLine;
 
-/** The commands that call a node, against a stub of its admin server. */
+/** Commands that call a node, run against a stub of its admin server. */
 @Timeout(60)
 class AdminCommandsTest {
     private static final String VARS = "node.requests.a.served=12\nnode.requests.b.served=3\n"
@@ -33,14 +33,14 @@
     private volatile int readyStatus = 200;
 
     @BeforeEach
-    void open() throws IOException {
+    void startStub() throws IOException {
         node = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         node.createContext("/", exchange -> {
             calls.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
-            boolean vars = exchange.getRequestURI().getPath().equals("/_vars");
-            byte[] body =
-                    (vars ? VARS : readyStatus == 200 ? "TAKING\n" : "LAME_DUCK\n").getBytes(StandardCharsets.US_ASCII);
-            exchange.sendResponseHeaders(vars ? 200 : readyStatus, body.length);
+            boolean isVars = exchange.getRequestURI().getPath().equals("/_vars");
+            byte[] body = (isVars ? VARS : readyStatus == 200 ? "TAKING\n" : "LAME_DUCK\n")
+                    .getBytes(StandardCharsets.US_ASCII);
+            exchange.sendResponseHeaders(isVars ? 200 : readyStatus, body.length);
             exchange.getResponseBody().write(body);
             exchange.close();
         });
@@ -49,14 +49,14 @@
     }
 
     @AfterEach
-    void close() {
+    void stopStub() {
         node.stop(0);
     }
 
     private int run(String... args) {
-        CommandLine line = Main.commandLine();
-        line.setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
-        return line.execute(args);
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+        return commandLine.execute(args);
     }
 
     @Test
@@ -86,7 +86,7 @@
         assertEquals(6, rows.size(), out.toString());
         assertEquals(address + " TAKING 15 1 0 17 4 7/9", rows.get(1));
         assertTrue(rows.get(2).startsWith("127.0.0.1:1 no answer"), rows.get(2));
-        assertEquals(address + " TAKING 0 0 0 0 4 7/9", rows.get(4), "since the last look");
+        assertEquals(address + " TAKING 0 0 0 0 4 7/9", rows.get(4), "increase since the previous round");
         assertEquals(Exit.FAILED, run("watch", "--count", "1", "127.0.0.1:1"));
     }
 }
--- a/cli/src/test/java/tansypass/cli/CommandsTest.java
+++ b/cli/src/test/java/tansypass/cli/CommandsTest.java
@@ -21,7 +21,7 @@
 import tansypass.platform.NodeConfigJsonReader;
 
 class CommandsTest {
-    private static final String NODE = """
+    private static final String NODE_FILE = """
             [node]
             name = "n1"
             listen = "127.0.0.1:8443"
@@ -42,8 +42,8 @@
             deadline = "400ms"
             """;
 
-    /** No value is a default. */
-    private static final String ALL_VALUES = """
+    /** A file in which no value is the default. */
+    private static final String FILE_WITH_ALL_VALUES = """
             [node]
             listen = "127.0.0.1:8443"
             admin = "127.0.0.1:9443"
@@ -85,6 +85,7 @@
             window = "2s"
             """;
 
+    /** The configuration from the platform that equals {@link #FILE_WITH_ALL_VALUES}. */
     private static final String ALL_VALUES_JSON = """
             {"listen":"127.0.0.1:8443","admin":"127.0.0.1:9443","discovery":"127.0.0.1:8500",
              "seed":"8c1f30d27a5be964","limits":{"sockets":500},
@@ -105,20 +106,20 @@
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        CommandLine line = Main.commandLine();
-        line.setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
-        return line.execute(args);
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+        return commandLine.execute(args);
     }
 
-    private String file(String text) throws IOException {
+    private String writeFile(String text) throws IOException {
         return Files.writeString(folder.resolve("n.toml"), text).toString();
     }
 
     @Test
     void checkReportsEachError() throws IOException {
-        assertEquals(Exit.OK, run("check", file(NODE)));
+        assertEquals(Exit.OK, run("check", writeFile(NODE_FILE)));
         assertTrue(out.toString().endsWith("n.toml: fit for use\n"), out.toString());
-        assertEquals(Exit.INVALID_INPUT, run("check", file(NODE.replace("400ms", "400"))));
+        assertEquals(Exit.INVALID_INPUT, run("check", writeFile(NODE_FILE.replace("400ms", "400"))));
         assertTrue(out.toString().contains("n.toml:18: classes[0].deadline: \"400\""), out.toString());
         assertTrue(out.toString().endsWith("1 fault\n"), out.toString());
     }
@@ -134,7 +135,16 @@
                 """;
         assertEquals(
                 Exit.OK,
-                run("testbed", "explore", file(scenario), "--most", "3", "--threads", "1", "--json", json.toString()));
+                run(
+                        "testbed",
+                        "explore",
+                        writeFile(scenario),
+                        "--most",
+                        "3",
+                        "--threads",
+                        "1",
+                        "--json",
+                        json.toString()));
         assertEquals("{\"scenario\":\"w\",\"first_seed\":1,\"tried\":3}", Files.readString(json));
         assertTrue(out.toString().endsWith("no rule was broken\n"), out.toString());
     }
@@ -165,13 +175,13 @@
     @Test
     void convertsEachValueOfFileToNodeConfig() throws Exception {
         NodeConfig expected = NodeConfigJsonReader.read(ALL_VALUES_JSON, Map.of());
-        NodeConfig converted = NodeFileConverter.toNodeConfig(NodeFile.read(file(ALL_VALUES), Map.of()));
+        NodeConfig converted = NodeFileConverter.toNodeConfig(NodeFile.read(writeFile(FILE_WITH_ALL_VALUES), Map.of()));
         assertEquals(expected, converted);
     }
 
     @Test
     void convertsFileWithoutDiscoveryAdminAndSeed() throws Exception {
-        NodeFile file = NodeFile.read(file(NODE.replace("seed = \"7\"\n", "")), Map.of());
+        NodeFile file = NodeFile.read(writeFile(NODE_FILE.replace("seed = \"7\"\n", "")), Map.of());
         NodeConfig config = NodeFileConverter.toNodeConfig(file);
         assertNull(config.discovery());
         assertNull(config.admin());
@@ -186,10 +196,10 @@
 
     @Test
     void findsChangedKeysThatNeedRestart() throws Exception {
-        NodeFile old = NodeFile.read(file(NODE), Map.of());
-        NodeFile moved = NodeFile.read(file(NODE.replace(":8443", ":8444")), Map.of());
-        assertEquals(List.of("node.listen"), ConfigReloader.findKeysNeedingRestart(old, moved));
-        NodeFile louder = NodeFile.read(file(NODE + "[log]\nlevel = \"debug\"\n"), Map.of());
-        assertEquals(List.of(), ConfigReloader.findKeysNeedingRestart(old, louder));
+        NodeFile old = NodeFile.read(writeFile(NODE_FILE), Map.of());
+        NodeFile withOtherAddress = NodeFile.read(writeFile(NODE_FILE.replace(":8443", ":8444")), Map.of());
+        assertEquals(List.of("node.listen"), ConfigReloader.findKeysNeedingRestart(old, withOtherAddress));
+        NodeFile moreVerbose = NodeFile.read(writeFile(NODE_FILE + "[log]\nlevel = \"debug\"\n"), Map.of());
+        assertEquals(List.of(), ConfigReloader.findKeysNeedingRestart(old, moreVerbose));
     }
 }
--- a/cli/src/test/java/tansypass/cli/DisagreementTest.java
+++ b/cli/src/test/java/tansypass/cli/DisagreementTest.java
@@ -17,30 +17,30 @@
 import picocli.CommandLine;
 import tansypass.cluster.transport.ClusterTransport;
 
-/** Output of {@code members --all} for views that differ. */
+/** The output of {@code members --all} if the views of members differ. */
 @Timeout(60)
 class DisagreementTest {
-    private final List<HttpServer> processes = new ArrayList<>();
+    private final List<HttpServer> servers = new ArrayList<>();
 
-    private HttpServer process() throws IOException {
+    private HttpServer newServer() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        processes.add(server);
+        servers.add(server);
         return server;
     }
 
-    private static String at(HttpServer server) {
+    private static String addressOf(HttpServer server) {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    private static String line(String name, String state, long forMs, String at) {
+    private static String entryJson(String name, String state, long unchangedMs, String address) {
         return """
                 {"name":"%s","gen":7,"nonce":1,"zone":"a","role":"node","at":"%s","old":1,\
-                "new":1,"state":"%s","inc":0,"for_ms":%d}""".formatted(name, at, state, forMs);
+                "new":1,"state":"%s","inc":0,"for_ms":%d}""".formatted(name, address, state, unchangedMs);
     }
 
-    private static void serve(HttpServer server, String name, String... lines) {
+    private static void serve(HttpServer server, String name, String... entries) {
         byte[] page = ("{\"name\":\"" + name + "\",\"deployment\":\"d\",\"version\":1,\"digest\":\"x\","
-                        + "\"standing\":\"joined\",\"members\":[" + String.join(",", lines) + "]}")
+                        + "\"standing\":\"joined\",\"members\":[" + String.join(",", entries) + "]}")
                 .getBytes(StandardCharsets.UTF_8);
         server.createContext(ClusterTransport.VIEW_PATH, exchange -> {
             exchange.sendResponseHeaders(200, page.length);
@@ -51,30 +51,30 @@
     }
 
     @AfterEach
-    void stop() {
-        processes.forEach(p -> p.stop(0));
+    void stopServers() {
+        servers.forEach(server -> server.stop(0));
     }
 
     @Test
     void listsDisagreementsWithViewersAndDuration() throws Exception {
-        HttpServer a = process();
-        HttpServer b = process();
+        HttpServer a = newServer();
+        HttpServer b = newServer();
         serve(
                 a,
                 "a",
-                line("a", "alive", 90_000, at(a)),
-                line("b", "alive", 90_000, at(b)),
-                line("c", "failed", 12_300, "127.0.0.1:1"));
+                entryJson("a", "alive", 90_000, addressOf(a)),
+                entryJson("b", "alive", 90_000, addressOf(b)),
+                entryJson("c", "failed", 12_300, "127.0.0.1:1"));
         serve(
                 b,
                 "b",
-                line("a", "alive", 90_000, at(a)),
-                line("b", "alive", 90_000, at(b)),
-                line("c", "left", 4_500, "127.0.0.1:1"));
+                entryJson("a", "alive", 90_000, addressOf(a)),
+                entryJson("b", "alive", 90_000, addressOf(b)),
+                entryJson("c", "left", 4_500, "127.0.0.1:1"));
         StringWriter out = new StringWriter();
-        CommandLine line = Main.commandLine();
-        line.setOut(new PrintWriter(out)).setErr(new PrintWriter(new StringWriter()));
-        int code = line.execute("members", at(a), "--all");
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).setErr(new PrintWriter(new StringWriter()));
+        int code = commandLine.execute("members", addressOf(a), "--all");
         assertTrue(code == Exit.NEGATIVE, out.toString());
         assertTrue(
                 out.toString()
--- a/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
+++ b/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
@@ -30,7 +30,7 @@
 import tansypass.config.NodeFile;
 import tansypass.platform.NodeConfigJsonReader;
 
-/** Names that operators and the platform use, recorded before any rename. */
+/** Names that operators, scripts and the platform depend on, so they must not change. */
 class ExternalNamesTest {
     private static final String FILE = """
             [node]
@@ -48,7 +48,7 @@
             deadline = "400ms"
             """;
 
-    private static final String COMMANDS = """
+    private static final String RECORDED_COMMANDS = """
             tansypass:
             tansypass node: --with-parent --wall-clock-offset=0 FILE
             tansypass check: FILE
@@ -74,7 +74,7 @@
             tansypass rig bench: --runs=5
             """;
 
-    private static final String METRICS = """
+    private static final String RECORDED_METRICS = """
             # HELP tansypass_abandoned_total Requests whose client left before anything of them was sent on.
             # TYPE tansypass_abandoned_total counter
             tansypass_abandoned_total 0.0
@@ -146,27 +146,28 @@
     @TempDir
     private Path folder;
 
-    private static void describe(String path, CommandLine line, StringBuilder to) {
-        to.append(path).append(':');
-        line.getCommandSpec().options().stream()
+    private static void describe(String path, CommandLine commandLine, StringBuilder text) {
+        text.append(path).append(':');
+        commandLine.getCommandSpec().options().stream()
                 .filter(option -> !option.usageHelp() && !option.versionHelp())
-                .forEach(option -> to.append(' ')
+                .forEach(option -> text.append(' ')
                         .append(option.longestName())
                         .append(option.defaultValue() == null ? "" : "=" + option.defaultValue()));
-        line.getCommandSpec()
+        commandLine
+                .getCommandSpec()
                 .positionalParameters()
-                .forEach(parameter -> to.append(' ').append(parameter.paramLabel()));
-        to.append('\n');
-        line.getSubcommands().entrySet().stream()
+                .forEach(parameter -> text.append(' ').append(parameter.paramLabel()));
+        text.append('\n');
+        commandLine.getSubcommands().entrySet().stream()
                 .filter(entry -> !entry.getKey().equals("help"))
-                .forEach(entry -> describe(path + " " + entry.getKey(), entry.getValue(), to));
+                .forEach(entry -> describe(path + " " + entry.getKey(), entry.getValue(), text));
     }
 
     @Test
     void commandsAndOptionsStayAsRecorded() {
         StringBuilder text = new StringBuilder();
         describe("tansypass", Main.commandLine(), text);
-        assertEquals(COMMANDS, text.toString());
+        assertEquals(RECORDED_COMMANDS, text.toString());
         assertEquals("[ON, OFF]", Arrays.toString(DrainCommand.Word.values()));
     }
 
@@ -176,7 +177,7 @@
                 .apply("node.requests.a.served=1\nnode.requests.a.refused=1\n"
                         + "node.requests.a.failed=1\nnode.attempts=1\n");
         assertEquals(
-                METRICS,
+                RECORDED_METRICS,
                 page.lines()
                         .filter(line -> line.matches("(# (HELP|TYPE) )?tansypass_.*"))
                         .collect(Collectors.joining("\n", "", "\n")));
@@ -185,8 +186,8 @@
     @Test
     void columnHeadsStayAsRecorded() {
         StringWriter out = new StringWriter();
-        CommandLine line = Main.commandLine();
-        line.setOut(new PrintWriter(out)).execute("watch", "--count", "1", "127.0.0.1:1");
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).execute("watch", "--count", "1", "127.0.0.1:1");
         assertEquals(
                 "node state served refused failed attempts in flight servers",
                 out.toString().lines().findFirst().orElse("").trim().replaceAll(" +", " "));
@@ -246,7 +247,7 @@
                 NodeFileConverter.toNodeConfig(NodeFile.read(file, Map.of())));
     }
 
-    /** Sets the value of a recorded line at its path; a list has one item. */
+    /** Sets the value of a recorded line at its path in the JSON object. A list in the path has one item. */
     private static void set(JsonObject parent, String path, String line) {
         int dot = path.indexOf('.');
         String key = (dot < 0 ? path : path.substring(0, dot)).replace("[]", "");
--- a/cli/src/test/java/tansypass/cli/LogsTest.java
+++ b/cli/src/test/java/tansypass/cli/LogsTest.java
@@ -23,7 +23,7 @@
 
 @Timeout(60)
 class LogsTest {
-    private static final String HOSTILE = "a\nfake line\r\u001b[31mred\u0000";
+    private static final String TEXT_WITH_CONTROL_CHARACTERS = "a\nfake line\r\u001b[31mred\u0000";
 
     private final PrintStream originalErr = System.err;
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
@@ -35,30 +35,30 @@
         Logs.configure(new LogSettings(LogFormat.TEXT, LogLevel.WARN, 64));
     }
 
-    private void configure(LogFormat format, LogLevel level, int queue, OutputStream to) {
-        System.setErr(new PrintStream(to, true, StandardCharsets.UTF_8));
+    private void configure(LogFormat format, LogLevel level, int queue, OutputStream target) {
+        System.setErr(new PrintStream(target, true, StandardCharsets.UTF_8));
         Logs.configure(new LogSettings(format, level, queue));
     }
 
-    private List<String> lines() {
-        // Ends the queue, and waits until it is written.
+    private List<String> finishAndReadLines() {
+        // Stops the queue, which first writes all its lines.
         ((LoggerContext) LoggerFactory.getILoggerFactory()).reset();
         return written.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    private void logHostileText() {
+    private void logTextWithControlCharacters() {
         log.atInfo()
                 .addKeyValue("event", "peer.said")
-                .addKeyValue("text", HOSTILE)
-                .log(HOSTILE);
+                .addKeyValue("text", TEXT_WITH_CONTROL_CHARACTERS)
+                .log(TEXT_WITH_CONTROL_CHARACTERS);
     }
 
     @Test
     void replacesControlCharactersInText() {
         configure(LogFormat.TEXT, LogLevel.INFO, 64, written);
-        logHostileText();
-        log.warn("failed", new IllegalStateException(HOSTILE));
-        List<String> lines = lines();
+        logTextWithControlCharacters();
+        log.warn("failed", new IllegalStateException(TEXT_WITH_CONTROL_CHARACTERS));
+        List<String> lines = finishAndReadLines();
         assertEquals(2, lines.size(), lines.toString());
         assertTrue(lines.get(0).contains("event=\"peer.said\""), lines.get(0));
         assertTrue(lines.stream().allMatch(l -> l.chars().noneMatch(Character::isISOControl)), lines.toString());
@@ -67,12 +67,12 @@
     @Test
     void formatsJsonLineAsOneObjectWithAllFields() {
         configure(LogFormat.JSON, LogLevel.INFO, 64, written);
-        logHostileText();
-        List<String> lines = lines();
+        logTextWithControlCharacters();
+        List<String> lines = finishAndReadLines();
         assertEquals(1, lines.size(), lines.toString());
         JsonObject line = JsonParser.parseString(lines.get(0)).getAsJsonObject();
         assertEquals("INFO", line.get("level").getAsString());
-        assertEquals(HOSTILE, line.get("formattedMessage").getAsString());
+        assertEquals(TEXT_WITH_CONTROL_CHARACTERS, line.get("formattedMessage").getAsString());
         assertEquals(
                 "peer.said",
                 line.getAsJsonArray("kvpList")
@@ -88,20 +88,20 @@
         log.info("not yet");
         Logs.setLevel(LogLevel.INFO);
         log.info("now");
-        List<String> lines = lines();
+        List<String> lines = finishAndReadLines();
         assertEquals(1, lines.size(), lines.toString());
         assertTrue(lines.get(0).contains("now"), lines.get(0));
     }
 
     @Test
     void dropsAndCountsLinesWithoutBlockingWhenQueueIsFull() {
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch unblockWriter = new CountDownLatch(1);
         long droppedBefore = Logs.countDropped();
         configure(LogFormat.TEXT, LogLevel.INFO, 16, new OutputStream() {
             @Override
             public void write(int b) {
                 try {
-                    stuck.await();
+                    unblockWriter.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -112,9 +112,10 @@
             log.info("line {}", i);
         }
         long dropped = Logs.countDropped() - droppedBefore;
-        stuck.countDown();
-        // 16 wait, and the writer has taken the 16 before and one.
+        unblockWriter.countDown();
+        // At most 33 lines are kept: 16 in the queue, and 17 in the writer thread, which has taken one line and then a
+        // full queue of 16.
         assertTrue(dropped >= 100 - 33 && dropped < 100, "dropped " + dropped);
-        assertEquals(100 - dropped, lines().size());
+        assertEquals(100 - dropped, finishAndReadLines().size());
     }
 }
--- a/cli/src/test/java/tansypass/cli/MembersTest.java
+++ b/cli/src/test/java/tansypass/cli/MembersTest.java
@@ -25,14 +25,15 @@
 import picocli.CommandLine;
 import tansypass.cluster.runtime.RandomStreams;
 
-/** Membership among real processes of the program. */
+/** The cluster membership of real processes of the program. */
 @Timeout(120)
 class MembersTest {
-    private static final int COUNT = 4;
-    private static final int FLOOD = 20_000;
-    /** Addresses of this test process's own. */
-    private static final String NETWORK = "127.200." + ProcessHandle.current().pid() / 250 % 250 + "."
-            + (ProcessHandle.current().pid() % 250 + 1);
+    private static final int NODE_COUNT = 4;
+    private static final int GARBAGE_DATAGRAMS = 20_000;
+    /** A loopback address that depends on the process id, so that concurrent runs of the test do not collide. */
+    private static final String LOOPBACK_ADDRESS =
+            "127.200." + ProcessHandle.current().pid() / 250 % 250 + "."
+                    + (ProcessHandle.current().pid() % 250 + 1);
 
     @TempDir
     private Path folder;
@@ -40,7 +41,7 @@
     private final List<Process> processes = new ArrayList<>();
 
     private static String address(int node) {
-        return NETWORK + ":" + (7_000 + node);
+        return LOOPBACK_ADDRESS + ":" + (7_000 + node);
     }
 
     private void start(int node, String... options) throws IOException {
@@ -63,7 +64,14 @@
                 seeds = ["%s", "%s"]
                 period = "200ms"
                 """.formatted(
-                        node, NETWORK, 8_000 + node, NETWORK, 9_000 + node, address(node), address(0), address(1)));
+                        node,
+                        LOOPBACK_ADDRESS,
+                        8_000 + node,
+                        LOOPBACK_ADDRESS,
+                        9_000 + node,
+                        address(node),
+                        address(0),
+                        address(1)));
         List<String> command = new ArrayList<>(ProgramCommand.of("node", "--with-parent", file.toString()));
         command.addAll(List.of(options));
         Process process = new ProcessBuilder(command)
@@ -78,61 +86,61 @@
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void endProcesses() throws InterruptedException {
         for (Process process : processes) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    private static String members(int node, String... options) {
+    private static String runMembersCommand(int node, String... options) {
         StringWriter out = new StringWriter();
         List<String> arguments = new ArrayList<>(List.of("members", address(node)));
         arguments.addAll(List.of(options));
-        CommandLine line = Main.commandLine();
-        line.setOut(new PrintWriter(out)).setErr(new PrintWriter(new StringWriter()));
-        int code = line.execute(arguments.toArray(new String[0]));
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).setErr(new PrintWriter(new StringWriter()));
+        int code = commandLine.execute(arguments.toArray(new String[0]));
         return code + "\n" + out;
     }
 
-    /** Polls the view until the output contains all of these. */
-    private String await(int node, List<String> expected, String... options) throws Exception {
+    /** Polls the member's view until the output contains all expected texts, and returns the output. */
+    private String awaitMembersOutput(int node, List<String> expected, String... options) throws Exception {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        String output = members(node, options);
+        String output = runMembersCommand(node, options);
         while (!expected.stream().allMatch(output::contains)) {
             assertTrue(
                     System.nanoTime() < deadlineNs,
                     "never " + expected + " but " + output + Files.readString(folder.resolve("n" + node + ".log")));
             processes.get(node).waitFor(50, TimeUnit.MILLISECONDS);
-            output = members(node, options);
+            output = runMembersCommand(node, options);
         }
         return output;
     }
 
-    private static String line(int node, String state) {
+    private static String row(int node, String state) {
         return "n%-15d %-9s".formatted(node, state);
     }
 
     @Test
     void detectsJoinsFailuresLeavesAndRestarts() throws Exception {
-        for (int i = 0; i < COUNT; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             start(i);
         }
-        for (int i = 0; i < COUNT; i++) {
-            await(i, List.of(line(0, "alive"), line(1, "alive"), line(2, "alive"), line(3, "alive")));
+        for (int i = 0; i < NODE_COUNT; i++) {
+            awaitMembersOutput(i, List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"), row(3, "alive")));
         }
-        String all = await(0, List.of("4 asked, 0 members disagreed about, 0 silent"), "--all");
+        String all = awaitMembersOutput(0, List.of("4 asked, 0 members disagreed about, 0 silent"), "--all");
         assertTrue(all.startsWith(Exit.OK + "\n"), all);
         processes.get(3).destroyForcibly().waitFor();
-        String outputAfterKill = members(0, "--all");
+        String outputAfterKill = runMembersCommand(0, "--all");
         assertTrue(
                 outputAfterKill.startsWith(Exit.NEGATIVE + "\n") && outputAfterKill.contains("no answer from n3"),
                 outputAfterKill);
         for (int i = 0; i < 3; i++) {
-            await(i, List.of(line(3, "failed")));
+            awaitMembersOutput(i, List.of(row(3, "failed")));
         }
         start(3);
-        for (int i = 0; i < COUNT; i++) {
-            await(i, List.of(line(3, "alive")));
+        for (int i = 0; i < NODE_COUNT; i++) {
+            awaitMembersOutput(i, List.of(row(3, "alive")));
         }
         assertEquals(
                 0,
@@ -142,7 +150,7 @@
                         .waitFor());
         assertEquals(0, processes.get(2).waitFor());
         for (int i : new int[] {0, 1, 3}) {
-            await(i, List.of(line(2, "left")));
+            awaitMembersOutput(i, List.of(row(2, "left")));
             awaitLogLine(i, "member state changed event=\"member.left\" member=\"n2\"");
         }
     }
@@ -161,28 +169,28 @@
         for (int i = 0; i < 3; i++) {
             start(i);
         }
-        List<String> allAlive = List.of(line(0, "alive"), line(1, "alive"), line(2, "alive"));
-        await(0, allAlive);
+        List<String> allAlive = List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"));
+        awaitMembersOutput(0, allAlive);
         Pattern generation = Pattern.compile("(?m)^n2 .* ([0-9]{10,})");
-        Matcher first = generation.matcher(await(1, allAlive));
-        assertTrue(first.find());
+        Matcher generationBefore = generation.matcher(awaitMembersOutput(1, allAlive));
+        assertTrue(generationBefore.find());
         processes.get(2).destroyForcibly().waitFor();
-        await(0, List.of(line(2, "failed")));
+        awaitMembersOutput(0, List.of(row(2, "failed")));
         start(2, "--wall-clock-offset", "-3600000");
         for (int i = 0; i < 3; i++) {
-            Matcher later = generation.matcher(await(i, allAlive));
-            assertTrue(later.find());
-            assertEquals(Long.parseLong(first.group(1)) + 1, Long.parseLong(later.group(1)));
+            Matcher generationAfter = generation.matcher(awaitMembersOutput(i, allAlive));
+            assertTrue(generationAfter.find());
+            assertEquals(Long.parseLong(generationBefore.group(1)) + 1, Long.parseLong(generationAfter.group(1)));
         }
     }
 
-    /** Returns a value of the page {@code /metrics}; -1 if it is not on the page, or the node does not respond. */
-    private static long metric(int node, String name) {
+    /** Returns a metric of the page {@code /metrics}; -1 if it is missing or the node does not respond. */
+    private static long readMetric(int node, String name) {
         try {
-            Matcher line = Pattern.compile(Pattern.quote(name) + " ([0-9.]+)")
-                    .matcher(AdminCall.send(NETWORK + ":" + (9_000 + node), "GET", "/metrics")
+            Matcher value = Pattern.compile(Pattern.quote(name) + " ([0-9.]+)")
+                    .matcher(AdminCall.send(LOOPBACK_ADDRESS + ":" + (9_000 + node), "GET", "/metrics")
                             .body());
-            return line.find() ? (long) Double.parseDouble(line.group(1)) : -1;
+            return value.find() ? (long) Double.parseDouble(value.group(1)) : -1;
         } catch (IOException e) {
             return -1;
         }
@@ -190,8 +198,8 @@
 
     private void awaitMetric(int node, String name, long expected) throws Exception {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        while (metric(node, name) != expected) {
-            assertTrue(System.nanoTime() < deadlineNs, name + " of n" + node + " is " + metric(node, name));
+        while (readMetric(node, name) != expected) {
+            assertTrue(System.nanoTime() < deadlineNs, name + " of n" + node + " is " + readMetric(node, name));
             processes.get(node).waitFor(20, TimeUnit.MILLISECONDS);
         }
     }
@@ -201,26 +209,30 @@
         for (int i = 0; i < 3; i++) {
             start(i);
         }
-        String taking = "tansypass_fleet_nodes{state=\"taking\"}";
-        awaitMetric(0, taking, 3);
-        // A node joins before its admin server listens.
-        awaitMetric(1, taking, 3);
+        String servingNodes = "tansypass_fleet_nodes{state=\"taking\"}";
+        awaitMetric(0, servingNodes, 3);
+        // A node joins the cluster before its admin server listens.
+        awaitMetric(1, servingNodes, 3);
         assertEquals(
-                200, AdminCall.send(NETWORK + ":9001", "POST", "/_lameduck/on").statusCode());
-        awaitMetric(0, taking, 2);
-        awaitMetric(2, taking, 2);
+                200,
+                AdminCall.send(LOOPBACK_ADDRESS + ":9001", "POST", "/_lameduck/on")
+                        .statusCode());
+        awaitMetric(0, servingNodes, 2);
+        awaitMetric(2, servingNodes, 2);
         assertEquals(
-                200, AdminCall.send(NETWORK + ":9001", "POST", "/_lameduck/off").statusCode());
-        awaitMetric(0, taking, 3);
+                200,
+                AdminCall.send(LOOPBACK_ADDRESS + ":9001", "POST", "/_lameduck/off")
+                        .statusCode());
+        awaitMetric(0, servingNodes, 3);
         processes.get(2).destroyForcibly().waitFor();
         awaitMetric(0, "tansypass_fleet_nodes{state=\"lost\"}", 1);
-        assertEquals(2, metric(0, taking));
-        assertEquals(2, metric(0, "tansypass_members_present{zone=\"a\"}"));
-        assertTrue(metric(0, "tansypass_membership_disagreement_seconds") >= 0);
+        assertEquals(2, readMetric(0, servingNodes));
+        assertEquals(2, readMetric(0, "tansypass_members_present{zone=\"a\"}"));
+        assertTrue(readMetric(0, "tansypass_membership_disagreement_seconds") >= 0);
     }
 
-    private static long eventCount(int node, String event) {
-        return metric(node, "tansypass_membership_events_total{event=\"" + event + "\"}");
+    private static long readEventCount(int node, String event) {
+        return readMetric(node, "tansypass_membership_events_total{event=\"" + event + "\"}");
     }
 
     @Test
@@ -228,27 +240,27 @@
         for (int i = 0; i < 3; i++) {
             start(i);
         }
-        List<String> allAlive = List.of(line(0, "alive"), line(1, "alive"), line(2, "alive"));
+        List<String> allAlive = List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"));
         for (int i = 0; i < 3; i++) {
-            await(i, allAlive);
+            awaitMembersOutput(i, allAlive);
         }
         UniformRandomProvider random = RandomStreams.of(5, "garbage");
-        InetSocketAddress target = new InetSocketAddress(NETWORK, 7_000);
-        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName(NETWORK))) {
-            for (int i = 0; i < FLOOD; i++) {
-                // Some longer than any datagram of the protocol.
+        InetSocketAddress target = new InetSocketAddress(LOOPBACK_ADDRESS, 7_000);
+        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName(LOOPBACK_ADDRESS))) {
+            for (int i = 0; i < GARBAGE_DATAGRAMS; i++) {
+                // Every 50th datagram is longer than any datagram of the protocol.
                 byte[] garbage = new byte[i % 50 == 0 ? 9_000 : 1 + random.nextInt(1_400)];
                 random.nextBytes(garbage);
                 socket.send(new DatagramPacket(garbage, garbage.length, target));
             }
         }
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (eventCount(0, "dropped_malformed") < FLOOD / 20) {
-            assertTrue(System.nanoTime() < deadlineNs, "counted " + eventCount(0, "dropped_malformed"));
+        while (readEventCount(0, "dropped_malformed") < GARBAGE_DATAGRAMS / 20) {
+            assertTrue(System.nanoTime() < deadlineNs, "counted " + readEventCount(0, "dropped_malformed"));
         }
         for (int i = 0; i < 3; i++) {
-            await(i, allAlive);
-            assertEquals(0, eventCount(i, "failed"));
+            awaitMembersOutput(i, allAlive);
+            assertEquals(0, readEventCount(i, "failed"));
         }
     }
 }
--- a/cli/src/test/java/tansypass/cli/ProcessRunTest.java
+++ b/cli/src/test/java/tansypass/cli/ProcessRunTest.java
@@ -22,7 +22,7 @@
 import tansypass.testbed.scenario.Scenario;
 import tansypass.testbed.scenario.ScenarioFile;
 
-/** Scenarios on real processes of the program. */
+/** Runs of scenarios on real processes of the program. */
 @Timeout(120)
 class ProcessRunTest {
     private static final String SCENARIO = """
@@ -62,13 +62,13 @@
     @TempDir
     private Path folder;
 
-    private Path file(String text) throws IOException {
+    private Path writeFile(String text) throws IOException {
         return Files.writeString(folder.resolve("scenario.toml"), text);
     }
 
     @Test
     void violatesNoInvariantWhenProcessesAreKilledAndLinkIsCut() throws Exception {
-        Scenario scenario = ScenarioFile.read(file(SCENARIO + FAULTS).toString());
+        Scenario scenario = ScenarioFile.read(writeFile(SCENARIO + FAULTS).toString());
         InvariantChecker checker =
                 ProcessRun.run(scenario, 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
         assertEquals(List.of(), checker.violations());
@@ -80,7 +80,7 @@
 
     @Test
     void reportsExitCodeOfNodeThatCannotStart() throws Exception {
-        Scenario scenario = ScenarioFile.read(file(SCENARIO).toString());
+        Scenario scenario = ScenarioFile.read(writeFile(SCENARIO).toString());
         NodeStartException rejection = assertThrows(
                 NodeStartException.class,
                 () -> ProcessRun.run(
@@ -95,7 +95,7 @@
     @Test
     void rejectsMoreProcessesThanFitBeforeStart() throws Exception {
         Scenario scenario = ScenarioFile.read(
-                file(SCENARIO.replace("count = 3", "count = 2000")).toString());
+                writeFile(SCENARIO.replace("count = 3", "count = 2000")).toString());
         InsufficientResourcesException rejection = assertThrows(
                 InsufficientResourcesException.class,
                 () -> ProcessRun.run(scenario, 7, List.of("nothing"), folder, Progress.NONE));
@@ -107,7 +107,7 @@
         List<String> command = new ArrayList<>(ProgramCommand.of(
                 "testbed",
                 "run",
-                file(SCENARIO + """
+                writeFile(SCENARIO + """
                 [[faults]]
                 kind = "pause"
                 on = ["node-0"]
@@ -123,9 +123,9 @@
         List<ProcessHandle> children = List.of();
         try {
             long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-            // Until one is paused, which happens in the middle of the run.
+            // Waits until the scenario has paused a node, so the testbed is killed in the middle of the run.
             while (children.stream().noneMatch(ProcessRunTest::isPaused)) {
-                assertTrue(testbed.isAlive() && System.nanoTime() < deadlineNs, "never in the middle of the run");
+                assertTrue(testbed.isAlive() && System.nanoTime() < deadlineNs, "the scenario paused no node");
                 children = testbed.descendants().toList();
                 testbed.waitFor(20, TimeUnit.MILLISECONDS);
             }
--- a/cli/src/test/java/tansypass/cli/ScenariosTest.java
+++ b/cli/src/test/java/tansypass/cli/ScenariosTest.java
@@ -22,18 +22,18 @@
 import tansypass.testbed.scenario.ScenarioFile;
 import tansypass.testbed.simulation.SimulationRun;
 
-/** The scenarios that the project ships. */
+/** Runs of the scenarios in the directory {@code scenarios}. */
 @Timeout(180)
 class ScenariosTest {
-    private static final Path SCENARIOS = Path.of("..", "scenarios");
+    private static final Path SCENARIO_DIRECTORY = Path.of("..", "scenarios");
     private static final long BUDGET_MS = 12_000;
     private static final int MAX_SCHEDULES = 1_500;
 
     @TempDir
     private Path folder;
 
-    private static Scenario scenario(String name) throws InvalidConfigException {
-        return ScenarioFile.read(SCENARIOS.resolve(name + ".toml").toString());
+    private static Scenario readScenario(String name) throws InvalidConfigException {
+        return ScenarioFile.read(SCENARIO_DIRECTORY.resolve(name + ".toml").toString());
     }
 
     private static double servedShare(InvariantChecker checker) {
@@ -44,8 +44,8 @@
     @ParameterizedTest
     @CsvSource({"calm,0.95", "rolling,0.98", "links,0.8", "members,0.75"})
     void violatesNoInvariantOnRealProcesses(String name, double minServedShare) throws Exception {
-        InvariantChecker checker =
-                ProcessRun.run(scenario(name), 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
+        InvariantChecker checker = ProcessRun.run(
+                readScenario(name), 7, ProgramCommand.of("node", "--with-parent"), folder, Progress.NONE);
         assertEquals(List.of(), checker.violations());
         assertTrue(servedShare(checker) >= minServedShare, () -> "served " + servedShare(checker));
     }
@@ -53,7 +53,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"calm", "rolling", "links", "servers", "members"})
     void violatesNoInvariantUnderRandomFaults(String name) throws Exception {
-        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(scenario(name), SimulationRun::run)
+        Optional<ScheduleExplorer.Found> found = new ScheduleExplorer(readScenario(name), SimulationRun::run)
                 .explore(1, BUDGET_MS, MAX_SCHEDULES, Runtime.getRuntime().availableProcessors())
                 .found();
         assertEquals(Optional.empty(), found);
@@ -61,6 +61,6 @@
 
     @Test
     void acceptsAnnotatedScenario() throws InvalidConfigException {
-        assertEquals(3, scenario("annotated").faults().size());
+        assertEquals(3, readScenario("annotated").faults().size());
     }
 }
