--- a/node/src/test/java/tansypass/node/admin/AdminServerTest.java
+++ b/node/src/test/java/tansypass/node/admin/AdminServerTest.java
@@ -23,13 +23,13 @@
 import tansypass.node.TestEventLoopGroup;
 import tansypass.node.lifecycle.Lifecycle;
 
-/** The admin calls, on a lifecycle and metrics without a node. */
+/** The calls of the admin server, for a lifecycle and metrics that belong to no node. */
 @Timeout(120)
 class AdminServerTest {
     private final Lifecycle lifecycle = new Lifecycle();
     private final NodeMetrics nodeMetrics = new NodeMetrics(List.of("view", "order"));
     private EventLoopGroup group;
-    private Channel listening;
+    private Channel serverChannel;
 
     @BeforeEach
     void open() {
@@ -46,14 +46,14 @@
     }
 
     private void listen(long callTimeoutMs, UnaryOperator<String> metrics) throws Exception {
-        listening = new AdminServer(nodeMetrics, lifecycle, callTimeoutMs, metrics)
+        serverChannel = new AdminServer(nodeMetrics, lifecycle, callTimeoutMs, metrics)
                 .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel();
     }
 
     private Socket connect() throws Exception {
-        return Fixture.connect(((InetSocketAddress) listening.localAddress()).getPort());
+        return Fixture.connect(((InetSocketAddress) serverChannel.localAddress()).getPort());
     }
 
     private String call(String text) throws Exception {
@@ -107,7 +107,7 @@
         assertEquals("text/plain; version=0.0.4; charset=utf-8", FakePeer.findHeader(response, "Content-Type"));
         assertTrue(response.endsWith("made of " + nodeMetrics.format().lines().count() + " lines"), response);
         assertEquals(405, status("POST", "/metrics"));
-        listening.close().sync();
+        serverChannel.close().sync();
         listen(60_000);
         assertEquals(404, status("GET", "/metrics"), "no metrics page without a formatter");
     }
@@ -130,6 +130,17 @@
         assertEquals(Lifecycle.State.STARTING, lifecycle.state());
     }
 
+    @Test
+    void responseBodiesStayAsRecorded() throws Exception {
+        listen(60_000);
+        assertTrue(call("\u0001\u0002 what\r\n\r\n").endsWith("\r\n\r\nmalformed call\n"));
+        assertTrue(call("GET / HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nno such call\n"));
+        assertTrue(call("GET /_lameduck/on HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nuse POST\n"));
+        assertTrue(call("POST /_lameduck/on HTTP/1.1\r\nContent-Length: 5000\r\n\r\n")
+                .endsWith("\r\n\r\ncall too long\n"));
+        assertTrue(call("GET /_ready HTTP/1.1\r\n\r\n").endsWith("\r\n\r\nSTARTING\n"));
+    }
+
     @Test
     void metricsAreListedByName() throws Exception {
         listen(60_000);
@@ -162,15 +173,15 @@
     @Test
     void incompleteCallsDoNotLockOutOthers() throws Exception {
         listen(60_000);
-        List<Socket> stuck = new ArrayList<>();
+        List<Socket> incompleteCalls = new ArrayList<>();
         for (int i = 0; i < AdminServer.MAX_CONNECTIONS; i++) {
             Socket socket = connect();
             FakePeer.write(socket, "GET /_va");
-            stuck.add(socket);
+            incompleteCalls.add(socket);
         }
         assertEquals(503, status("GET", "/_ready"));
-        assertNull(FakePeer.readMessage(stuck.get(0)), "the oldest connection is closed");
-        for (Socket socket : stuck) {
+        assertNull(FakePeer.readMessage(incompleteCalls.get(0)), "the oldest connection is closed");
+        for (Socket socket : incompleteCalls) {
             socket.close();
         }
     }
