--- a/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
+++ b/cli/src/test/java/tansypass/cli/ExternalNamesTest.java
@@ -1,23 +1,36 @@
 package tansypass.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.read.ListAppender;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Clock;
 import java.util.Arrays;
+import java.util.List;
 import java.util.Map;
+import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.slf4j.LoggerFactory;
 import picocli.CommandLine;
 import tansypass.config.NodeFile;
 import tansypass.platform.NodeConfigJsonReader;
 
-/** Names that operators and the platform use, recorded before any rename. */
+/** Names that operators, scripts and the platform depend on, so they must not change. */
 class ExternalNamesTest {
     private static final String FILE = """
             [node]
@@ -35,7 +48,7 @@
             deadline = "400ms"
             """;
 
-    private static final String COMMANDS = """
+    private static final String RECORDED_COMMANDS = """
             tansypass:
             tansypass node: --with-parent --wall-clock-offset=0 FILE
             tansypass check: FILE
@@ -61,21 +74,28 @@
             tansypass rig bench: --runs=5
             """;
 
-    private static final String METRICS = """
+    private static final String RECORDED_METRICS = """
+            # HELP tansypass_abandoned_total Requests whose client left before anything of them was sent on.
             # TYPE tansypass_abandoned_total counter
             tansypass_abandoned_total 0.0
+            # HELP tansypass_attempts_total Requests written whole to web servers.
             # TYPE tansypass_attempts_total counter
             tansypass_attempts_total 1.0
+            # HELP tansypass_in_flight Requests taken and not ended.
             # TYPE tansypass_in_flight gauge
             tansypass_in_flight 0.0
+            # HELP tansypass_log_lines_dropped_total Lines of the log that found its queue full.
             # TYPE tansypass_log_lines_dropped_total counter
             tansypass_log_lines_dropped_total 0.0
+            # HELP tansypass_requests_total Requests answered, by class and outcome.
             # TYPE tansypass_requests_total counter
             tansypass_requests_total{class="a",outcome="failed"} 1.0
             tansypass_requests_total{class="a",outcome="refused"} 1.0
             tansypass_requests_total{class="a",outcome="served"} 1.0
+            # HELP tansypass_web_servers_excluded Listed web servers that the node avoids now.
             # TYPE tansypass_web_servers_excluded gauge
             tansypass_web_servers_excluded 0.0
+            # HELP tansypass_web_servers_known Web servers in the list.
             # TYPE tansypass_web_servers_known gauge
             tansypass_web_servers_known 0.0
             """;
@@ -126,27 +146,28 @@
     @TempDir
     private Path folder;
 
-    private static void describe(String path, CommandLine line, StringBuilder to) {
-        to.append(path).append(':');
-        line.getCommandSpec().options().stream()
+    private static void describe(String path, CommandLine commandLine, StringBuilder text) {
+        text.append(path).append(':');
+        commandLine.getCommandSpec().options().stream()
                 .filter(option -> !option.usageHelp() && !option.versionHelp())
-                .forEach(option -> to.append(' ')
+                .forEach(option -> text.append(' ')
                         .append(option.longestName())
                         .append(option.defaultValue() == null ? "" : "=" + option.defaultValue()));
-        line.getCommandSpec()
+        commandLine
+                .getCommandSpec()
                 .positionalParameters()
-                .forEach(parameter -> to.append(' ').append(parameter.paramLabel()));
-        to.append('\n');
-        line.getSubcommands().entrySet().stream()
+                .forEach(parameter -> text.append(' ').append(parameter.paramLabel()));
+        text.append('\n');
+        commandLine.getSubcommands().entrySet().stream()
                 .filter(entry -> !entry.getKey().equals("help"))
-                .forEach(entry -> describe(path + " " + entry.getKey(), entry.getValue(), to));
+                .forEach(entry -> describe(path + " " + entry.getKey(), entry.getValue(), text));
     }
 
     @Test
     void commandsAndOptionsStayAsRecorded() {
         StringBuilder text = new StringBuilder();
         describe("tansypass", Main.commandLine(), text);
-        assertEquals(COMMANDS, text.toString());
+        assertEquals(RECORDED_COMMANDS, text.toString());
         assertEquals("[ON, OFF]", Arrays.toString(DrainCommand.Word.values()));
     }
 
@@ -156,12 +177,66 @@
                 .apply("node.requests.a.served=1\nnode.requests.a.refused=1\n"
                         + "node.requests.a.failed=1\nnode.attempts=1\n");
         assertEquals(
-                METRICS,
+                RECORDED_METRICS,
                 page.lines()
-                        .filter(line -> line.startsWith("tansypass_") || line.startsWith("# TYPE tansypass_"))
+                        .filter(line -> line.matches("(# (HELP|TYPE) )?tansypass_.*"))
                         .collect(Collectors.joining("\n", "", "\n")));
     }
 
+    @Test
+    void columnHeadsStayAsRecorded() {
+        StringWriter out = new StringWriter();
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(out)).execute("watch", "--count", "1", "127.0.0.1:1");
+        assertEquals(
+                "node state served refused failed attempts in flight servers",
+                out.toString().lines().findFirst().orElse("").trim().replaceAll(" +", " "));
+    }
+
+    /** Returns the fields of all log lines that the action writes with the logger of a class. */
+    private static List<String> fieldsLogged(Class<?> source, Callable<?> action) throws Exception {
+        ListAppender<ILoggingEvent> logged = new ListAppender<>();
+        logged.start();
+        Logger log = (Logger) LoggerFactory.getLogger(source);
+        log.setLevel(Level.INFO);
+        log.addAppender(logged);
+        try {
+            action.call();
+        } finally {
+            log.detachAppender(logged);
+            log.setLevel(null);
+        }
+        return logged.list.stream()
+                .map(event -> event.getKeyValuePairs().toString())
+                .toList();
+    }
+
+    @Test
+    void reloadEventsStayAsRecorded() throws Exception {
+        Path file = Files.writeString(folder.resolve("n.toml"), FILE);
+        ConfigReloader reloader =
+                new ConfigReloader(file.toString(), Map.of(), NodeFile.read(file.toString(), Map.of()));
+        Files.writeString(file, FILE.replace("\"7\"", "\"8\"") + "[log]\nlevel = \"warn\"\nqueue = 16\n");
+        assertEquals(
+                List.of(
+                        "[event=\"reload.needs-restart\", keys=\"node.seed,log.queue\"]",
+                        "[event=\"reload.taken\", file=\"" + file + "\"]"),
+                fieldsLogged(ConfigReloader.class, reloader::reload));
+    }
+
+    @Test
+    void clusterEventStaysAsRecorded() throws Exception {
+        try (DatagramSocket occupied = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            String cluster = "[fleet]\nlisten = \"127.0.0.1:%d\"\ndeployment = \"d\"\n";
+            String file = Files.writeString(folder.resolve("n.toml"), FILE + cluster.formatted(occupied.getLocalPort()))
+                    .toString();
+            List<String> fields = fieldsLogged(
+                    Membership.class, () -> Membership.join(NodeFile.read(file, Map.of()), Clock.systemUTC()));
+            assertEquals(1, fields.size());
+            assertTrue(fields.get(0).startsWith("[event=\"fleet.closed\", reason=\""), fields.get(0));
+        }
+    }
+
     @Test
     void fileEqualsRecordedPlatformJson() throws Exception {
         String file = Files.writeString(folder.resolve("n.toml"), FILE).toString();
@@ -172,7 +247,7 @@
                 NodeFileConverter.toNodeConfig(NodeFile.read(file, Map.of())));
     }
 
-    /** Sets the value of a recorded line at its path; a list has one item. */
+    /** Sets the value of a recorded line at its path in the JSON object. A list in the path has one item. */
     private static void set(JsonObject parent, String path, String line) {
         int dot = path.indexOf('.');
         String key = (dot < 0 ? path : path.substring(0, dot)).replace("[]", "");
--- a/config/src/main/java/tansypass/config/NodeFileReader.java
+++ b/config/src/main/java/tansypass/config/NodeFileReader.java
@@ -13,32 +13,32 @@
 import tansypass.config.NodeFile.ServiceConfig;
 import tansypass.config.NodeFile.TenantConfig;
 
-/** Reads a {@link NodeFile} from TOML: keys, ranges and defaults, and the checks between values. */
+/** Reads a {@link NodeFile} from TOML. Has the keys, ranges and defaults, and checks values against each other. */
 final class NodeFileReader {
-    private static final int MIN_SOCKETS = 66;
-    private static final int MAX_SOCKETS = 1_000_000;
-    private static final int DEFAULT_SOCKETS = 1_024;
+    private static final int MIN_DESCRIPTORS = 66;
+    private static final int MAX_DESCRIPTORS = 1_000_000;
+    private static final int DEFAULT_DESCRIPTORS = 1_024;
     private static final String DEFAULT_ZONE = "a";
     private static final long MILLISECOND_US = 1_000;
     private static final long SECOND_US = 1_000 * MILLISECOND_US;
 
     private NodeFileReader() {}
 
-    /** Reads the complete file; errors are collected by the reader. */
+    /** Reads the complete file; {@code root} collects the errors. */
     static NodeFile read(TomlTableReader root) {
         TomlTableReader node = root.getTable("node");
         TomlTableReader discovery = root.getTable("discovery");
         ServiceConfig service = readService(root.getTable("service"), root);
         NodeFile file = new NodeFile(
-                node.getString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED, "node"),
+                node.getString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES, "node"),
                 node.getAddress("listen", true),
                 node.getAddress("admin", false),
                 node.getString(
                         "zone",
-                        NodeFile.NAME,
-                        NodeFile.NAME_ALLOWED,
+                        NodeFile.NAME_PATTERN,
+                        NodeFile.ALLOWED_NAMES,
                         service.zones().get(0)),
-                (int) node.getLong("sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS),
+                (int) node.getLong("sockets", MIN_DESCRIPTORS, MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS),
                 node.getString("seed", "[0-9a-f]{0,16}", "up to 16 hexadecimal digits", ""),
                 discovery.getAddress("address", false),
                 root.getTables("servers").stream()
@@ -58,8 +58,8 @@
     }
 
     private static ClusterConfig readCluster(TomlTableReader cluster) {
-        ProbeTiming probes = ProbeTiming.read(cluster);
-        if (cluster.isValid() && probes.timeoutUs() >= probes.intervalUs()) {
+        ProbeTiming timing = ProbeTiming.read(cluster);
+        if (cluster.isValid() && timing.timeoutUs() >= timing.intervalUs()) {
             cluster.addError("probe", "is not shorter than the period");
         }
         InetSocketAddress listen = cluster.getAddress("listen", true);
@@ -67,10 +67,10 @@
         return new ClusterConfig(
                 listen,
                 advertise == null ? listen : advertise,
-                cluster.requireString("deployment", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                cluster.requireString("deployment", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 cluster.getAddresses("seeds"),
-                probes.intervalUs(),
-                probes.timeoutUs());
+                timing.intervalUs(),
+                timing.timeoutUs());
     }
 
     private static LogSettings readLog(TomlTableReader log) {
@@ -82,12 +82,15 @@
 
     private static ServerConfig readServer(TomlTableReader server, ServiceConfig service) {
         String zone = server.getString(
-                "zone", NodeFile.NAME, NodeFile.NAME_ALLOWED, service.zones().get(0));
+                "zone",
+                NodeFile.NAME_PATTERN,
+                NodeFile.ALLOWED_NAMES,
+                service.zones().get(0));
         if (server.isValid() && !service.zones().contains(zone)) {
             server.addError("zone", "\"" + zone + "\" is not among service.zones");
         }
         return new ServerConfig(
-                server.requireString("uid", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                server.requireString("uid", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 server.getAddress("endpoint", true),
                 zone,
                 (int) server.getLong("cell", 0, Integer.MAX_VALUE, 0),
@@ -95,7 +98,7 @@
     }
 
     private static ServiceConfig readService(TomlTableReader service, TomlTableReader root) {
-        List<String> zones = service.getStrings("zones", NodeFile.NAME, NodeFile.NAME_ALLOWED);
+        List<String> zones = service.getStrings("zones", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES);
         List<TomlTableReader> classes = root.requireTables("classes");
         requireUnique(classes, "name");
         requireUnique(root.getTables("tenants"), "name");
@@ -120,26 +123,26 @@
     }
 
     private static RequestClassConfig readRequestClass(TomlTableReader requestClass) {
-        RequestClassReader common = new RequestClassReader(requestClass, NodeFile.MAX_DURATION_US);
-        long latencyObjectiveUs = common.requireLatencyObjectiveUs();
-        long deadlineUs = common.requireDeadlineUs();
+        RequestClassReader classReader = new RequestClassReader(requestClass, NodeFile.MAX_DURATION_US);
+        long latencyObjectiveUs = classReader.requireLatencyObjectiveUs();
+        long deadlineUs = classReader.requireDeadlineUs();
         if (requestClass.isValid() && latencyObjectiveUs > deadlineUs) {
             requestClass.addError("aim", "is past the deadline");
         }
         return new RequestClassConfig(
-                requestClass.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
-                common.readIdempotency(),
-                common.readDeduplicationScope(),
+                requestClass.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
+                classReader.readIdempotency(),
+                classReader.readDeduplicationScope(),
                 latencyObjectiveUs,
                 deadlineUs,
                 requestClass.getDouble("worth", 0, 1e6, 1),
                 requestClass.getDouble("late_worth", 0, 1, 0),
-                common.readDeduplicationWindowUs(0));
+                classReader.readDeduplicationWindowUs(0));
     }
 
     private static TenantConfig readTenant(TomlTableReader tenant) {
         return new TenantConfig(
-                tenant.requireString("name", NodeFile.NAME, NodeFile.NAME_ALLOWED),
+                tenant.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
                 tenant.getDouble("quota_per_s", 0, 1e9, 0));
     }
 
