--- a/node/src/test/java/tansypass/node/ExternalNamesTest.java
+++ b/node/src/test/java/tansypass/node/ExternalNamesTest.java
@@ -5,16 +5,28 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.HttpResponseStatus;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.node.frontend.ClientRequestParser;
+import tansypass.node.frontend.Exchange;
+import tansypass.node.frontend.HttpFrontend;
+import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
 import tansypass.platform.EndpointListJsonReader;
 import tansypass.platform.MalformedEndpointListException;
@@ -98,4 +110,77 @@
         list.getAsJsonArray("targets").get(0).getAsJsonObject().remove(key);
         assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
+
+    /** Sends a request to a frontend and returns the body of its response, without the line break at its end. */
+    private static String respond(String request, Consumer<Exchange> dispatcher) throws Exception {
+        try (FakePeer peer = new FakePeer(FakePeer.SILENT)) {
+            NodeConfig config = Fixture.loadConfig(Fixture.createConfig(peer, peer));
+            EmbeddedChannel channel = new EmbeddedChannel();
+            HttpFrontend frontend = new HttpFrontend(
+                    channel.eventLoop(),
+                    new DescriptorLimiter(1_024),
+                    new ClientRequestParser(config.settings()),
+                    new Lifecycle(),
+                    new NodeMetrics(List.of("view", "photo", "order", "slow")),
+                    dispatcher);
+            frontend.setWarmUpToken("token");
+            frontend.addClientHandlers(channel.pipeline());
+            channel.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
+            channel.runPendingTasks();
+            StringBuilder response = new StringBuilder();
+            for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
+                response.append(part.toString(StandardCharsets.US_ASCII));
+                part.release();
+            }
+            frontend.close();
+            channel.finishAndReleaseAll();
+            return response.substring(response.indexOf("\r\n\r\n") + 4).strip();
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET  | /nothing | X-A: b                      | unknown class of request",
+                "POST | /view    | X-A: b                      | use GET",
+                "GET  | /order   | X-A: b                      | use POST",
+                "POST | /ready   | X-A: b                      | use GET",
+                "GET  | /ready   | X-A: b                      | STARTING",
+                "GET  | /view    | X-Rehearsal: token          | rehearsed",
+                "GET  | /view    | X-Txn: 1                    | X-Txn is missing or not 16 hex digits",
+                "GET  | /view    | X-Remaining-Ms: 1.5"
+                        + "| X-Remaining-Ms is missing or no whole number of milliseconds",
+                "GET  | /view    | X-Org: nobody               | unknown X-Org",
+                "POST | /photo   | X-A: b                      | Idempotency-Key is missing",
+                "POST | /order   | Transfer-Encoding: gzip, chunked | unknown transfer coding",
+                "POST | /order   | Expect: more                | unknown expectation",
+                "POST | /order   | Content-Length: 99000000    | body over 40 MiB",
+                "GET  | /view/%9000d | X-A: b                  | request line too long",
+                "GET  | /view    | X-A: %20000d                | headers too large",
+                "GET  | /view    | X-A                         | malformed HTTP",
+                "GET  | /view    | X-A: b                      | refused, try again",
+            })
+    void responseBodiesStayAsRecorded(String method, String path, String header, String body) throws Exception {
+        // The tested header comes first: the parser takes the first of several with the same name.
+        String request = method + " " + path + " HTTP/1.1\r\n" + header + "\r\n"
+                + (header.startsWith("X-Txn") ? "" : "X-Txn: 000000000000000a\r\n")
+                + "X-Org: acme\r\nX-Remaining-Ms: 900\r\n\r\n"
+                + (header.startsWith("Transfer-Encoding") ? "0\r\n\r\n" : "");
+        assertEquals(body, respond(request.formatted(1), exchange -> exchange.reject(0)));
+    }
+
+    @Test
+    void optionalRequestHeadersStayAsRecorded() throws Exception {
+        List<String> values = new ArrayList<>();
+        respond(
+                "GET /view HTTP/1.1\r\nX-Txn: 000000000000000a\r\nX-Remaining-Ms: 900\r\n"
+                        + "X-Resent: 1\r\nX-Estimate: 70\r\n\r\n",
+                exchange -> {
+                    values.add(exchange.request().retry() + " "
+                            + exchange.request().workUs());
+                    exchange.fail(HttpResponseStatus.BAD_GATEWAY, "ended by the test");
+                });
+        assertEquals(List.of("true 70"), values);
+    }
 }
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -299,7 +299,9 @@
                 FakePeer.write(stuck.get(stuck.size() - 1), part);
             }
             for (Socket socket : stuck) {
-                assertEquals(408, status(FakePeer.readMessage(socket)), "case " + stuck.indexOf(socket));
+                String response = FakePeer.readMessage(socket);
+                assertEquals(408, status(response), "case " + stuck.indexOf(socket));
+                assertTrue(response.endsWith("no whole request\n"), response);
                 assertNull(FakePeer.readMessage(socket), "case " + stuck.indexOf(socket));
                 socket.close();
             }
