--- a/node/src/main/java/tansypass/node/frontend/Exchange.java
+++ b/node/src/main/java/tansypass/node/frontend/Exchange.java
@@ -32,7 +32,7 @@
     private Runnable disconnectListener = () -> {};
     private Runnable completionListener = () -> {};
     private Runnable notReplayableListener = () -> {};
-    private long arrivedNs;
+    private long earliestArrivalNs;
     private boolean complete;
     private boolean answered;
     /** The response if it is a streamed one that has started, or null. */
@@ -53,18 +53,21 @@
         return request;
     }
 
-    /** Returns when the last byte was read, by {@link System#nanoTime}; 0 until then. */
-    public long arrivedNs() {
-        return arrivedNs;
+    /**
+     * Returns the earliest time at which the request's last byte may have arrived, by {@link System#nanoTime}; 0 until
+     * the request has been received completely.
+     */
+    public long earliestArrivalNs() {
+        return earliestArrivalNs;
     }
 
     /**
      * Marks the request as received.
      *
-     * @param lastByteNs when its last byte was read, by {@link System#nanoTime}
+     * @param lastByteNs the earliest time at which its last byte may have arrived, by {@link System#nanoTime}
      */
     void completeRequest(long lastByteNs) {
-        arrivedNs = lastByteNs;
+        earliestArrivalNs = lastByteNs;
         complete = true;
         metrics.recordReceived();
         request.body().complete();
--- a/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
+++ b/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
@@ -62,7 +62,7 @@
         localResponder = new LocalResponder(lifecycle);
         acceptor = new ConnectionAcceptor(loop, descriptors, this::addClientHandlers);
         connections = new ClientConnectionRegistry(loop, lifecycle, descriptors);
-        descriptors.setClientListeners(connections::reclaimOne, acceptor::resume);
+        descriptors.setClientCallbacks(connections::reclaimOne, acceptor::resume);
     }
 
     /** Stops the periodic check of the connections; for the end of a warm-up. */
--- a/node/src/main/java/tansypass/node/lifecycle/DescriptorLimiter.java
+++ b/node/src/main/java/tansypass/node/lifecycle/DescriptorLimiter.java
@@ -11,9 +11,9 @@
      * Descriptors not available to sockets: for the runtime's files and selector, the listening socket, discovery, and
      * sockets whose close has not taken effect yet.
      */
-    public static final int RESERVE = 64;
+    public static final int RESERVED_DESCRIPTORS = 64;
     /** Fewest descriptors with which a process can serve: one connection of each side besides the reserve. */
-    public static final int MIN_DESCRIPTORS = RESERVE + 2;
+    public static final int MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 2;
     /** Clients may use the limit divided by this; the platform's requirement. */
     private static final int CLIENT_DIVISOR = 3;
 
@@ -27,7 +27,7 @@
 
     /** Creates a limiter for a process with so many file descriptors. */
     public DescriptorLimiter(int limit) {
-        maxSockets = Math.max(2, limit - RESERVE);
+        maxSockets = Math.max(2, limit - RESERVED_DESCRIPTORS);
         // Under a small limit the reserve is a larger part of it, and servers still need a connection or two.
         maxClients = Math.max(1, Math.min(limit / CLIENT_DIVISOR, maxSockets * 3 / 4));
     }
@@ -38,13 +38,13 @@
      * @param closeIdle closes one idle client connection and returns whether there was one
      * @param whenCapacityAvailable runs after each closed socket
      */
-    public void setClientListeners(BooleanSupplier closeIdle, Runnable whenCapacityAvailable) {
+    public void setClientCallbacks(BooleanSupplier closeIdle, Runnable whenCapacityAvailable) {
         closeIdleClient = closeIdle;
         onCapacityAvailable = whenCapacityAvailable;
     }
 
     /** Sets what closes one idle connection to a server and returns whether there was one. */
-    public void setServerListener(BooleanSupplier closeIdle) {
+    public void setServerCallback(BooleanSupplier closeIdle) {
         closeIdleServer = closeIdle;
     }
 
--- a/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
+++ b/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
@@ -35,7 +35,7 @@
     /**
      * Sets the one observer of changes. It runs on the thread that makes a change, and at once with the present state.
      */
-    public synchronized void observe(Consumer<State> newObserver) {
+    public synchronized void setObserver(Consumer<State> newObserver) {
         observer = newObserver;
         newObserver.accept(state);
     }
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -85,7 +85,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         if (cluster != null) {
             cluster.setSizeListener(node::onClusterSize);
-            node.lifecycle().observe(state -> cluster.setServing(state == Lifecycle.State.TAKING));
+            node.lifecycle().setObserver(state -> cluster.setServing(state == Lifecycle.State.TAKING));
         }
         reloadOnHangup();
         if (config.admin() != null) {
--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -100,7 +100,7 @@
 
     /** Sets the deadlines, which count from the arrival of the last byte. */
     private void startDeadline() {
-        long arrivedUs = balancer.toUs(exchange.arrivedNs());
+        long arrivedUs = balancer.toUs(exchange.earliestArrivalNs());
         long remainingUs = clientRequest().remainingUs();
         deadlineUs = arrivedUs + remainingUs - Math.min(DEADLINE_MARGIN_US, remainingUs / DEADLINE_MARGIN_DIVISOR);
         deadlineTimer = balancer.scheduleAt(arrivedUs + remainingUs, this::onDeadlineExceeded);
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -80,7 +80,7 @@
                                 ConnectionBufferLimits.MIN_READ_BYTES,
                                 ConnectionBufferLimits.INITIAL_READ_BYTES,
                                 ConnectionBufferLimits.MAX_READ_BYTES));
-        descriptors.setServerListener(this::closeOldestIdle);
+        descriptors.setServerCallback(this::closeOldestIdle);
         sweeper = loop.scheduleWithFixedDelay(
                 this::closeExpired, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
--- a/node/src/main/java/tansypass/node/warmup/WarmUp.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUp.java
@@ -30,7 +30,8 @@
      * exhaust a small limit. */
     private static final int MAX_CONNECTIONS = 8;
 
-    private static final int MAX_DESCRIPTORS = DescriptorLimiter.RESERVE + CONCURRENT_REQUESTS + MAX_CONNECTIONS;
+    private static final int MAX_DESCRIPTORS =
+            DescriptorLimiter.RESERVED_DESCRIPTORS + CONCURRENT_REQUESTS + MAX_CONNECTIONS;
     private static final long SEED = 1;
     /** This server sends nothing beyond its responses, so that its connections can be reused at once; with a
      * quarantine a fast machine would have many of them waiting. */
--- a/node/src/test/java/tansypass/node/ClientFloodTest.java
+++ b/node/src/test/java/tansypass/node/ClientFloodTest.java
@@ -19,7 +19,7 @@
 @Timeout(120)
 class ClientFloodTest extends RunningNodeTestBase {
     /** The descriptor limit: a third is for clients, and another third remains for servers. */
-    private static final int SOCKETS = 3 * DescriptorLimiter.RESERVE;
+    private static final int SOCKETS = 3 * DescriptorLimiter.RESERVED_DESCRIPTORS;
 
     private static final int CLIENTS = SOCKETS / 3;
     /** Connections accepted in one iteration of the event loop. */
@@ -135,7 +135,7 @@
     @Test
     void deductsTimeInAcceptQueueFromDeadline() throws Exception {
         // Descriptors for one client and one server.
-        start(DescriptorLimiter.RESERVE + 2);
+        start(DescriptorLimiter.RESERVED_DESCRIPTORS + 2);
         server.setScript(FakePeer.SILENT);
         Socket first = openWithRequest(1);
         server.nextRequest();
--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -69,7 +69,7 @@
     @CsvSource({"8, true", "8, false", "12, true", "12, false"})
     void answersOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
         JsonObject json = createConfig();
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + sockets);
+        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + sockets);
         node = new RunningNode(json);
         int unread = 0;
         for (int i = 1; i < 60; i += 2) {
--- a/node/src/test/java/tansypass/node/EventRaceTest.java
+++ b/node/src/test/java/tansypass/node/EventRaceTest.java
@@ -80,7 +80,7 @@
     @Test
     void closesIdleConnectionRatherThanOneWithPartialRequest() throws Exception {
         JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + 8);
+        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
         node = new RunningNode(json);
         Socket partial = node.connect();
         String request = Fixture.formatRequest("GET", "/view", 1, "", "");
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -375,7 +375,7 @@
     @Test
     void idleConnectionsAreClosedAtTheDescriptorLimit() throws Exception {
         JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + 8);
+        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
--- a/node/src/test/java/tansypass/node/SlowPeerTest.java
+++ b/node/src/test/java/tansypass/node/SlowPeerTest.java
@@ -33,7 +33,7 @@
     /** Sets of settings: times, and how many descriptors there are. */
     enum Bounds {
         WIDE(10_000, 30_000, 1_024),
-        NARROW(1_500, 2_000, DescriptorLimiter.RESERVE + 8),
+        NARROW(1_500, 2_000, DescriptorLimiter.RESERVED_DESCRIPTORS + 8),
         BRIEF(400, 800, 256);
 
         final int objectiveMs;
