--- a/node/src/main/java/tansypass/node/frontend/ClientConnection.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnection.java
@@ -17,9 +17,9 @@
 import tansypass.node.logging.LogEvent;
 
 /**
- * A client's connection, which serves one request at a time. It connects the parts: {@link RequestReader},
- * {@link PipelinedInput}, {@link ResponseWriter} and {@link ClientTimeouts}; and owns the channel and
- * the request in flight. Used on the event loop only.
+ * A client's connection, which serves one request at a time. It owns the channel and the request in flight, and it
+ * connects the other parts: {@link RequestReader}, {@link PipelinedInput}, {@link ResponseWriter} and
+ * {@link ClientTimeouts}. Used on the event loop only.
  */
 public final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
@@ -33,8 +33,8 @@
     private final RequestReader reader;
     private final ResponseWriter writer;
     private final ClientTimeouts timeouts;
-    /** The request that the dispatcher has, which may still be being received; or null. */
-    private Exchange inFlight;
+    /** The request that has been dispatched, or null. Its body may not have been received completely yet. */
+    private Exchange requestInFlight;
 
     /** Creates the connection of an open channel. */
     public ClientConnection(HttpFrontend frontend, Channel channel) {
@@ -60,96 +60,102 @@
         channel.close();
     }
 
-    /** Returns the writer of its responses. */
+    /** Returns the writer of the connection's responses. */
     ResponseWriter writer() {
         return writer;
     }
 
-    /** Returns the reader of its requests. */
+    /** Returns the reader of the connection's requests. */
     RequestReader reader() {
         return reader;
     }
 
-    /** Returns what decides when the connection may be closed. */
+    /** Returns the timeouts that decide when the connection may be closed. */
     ClientTimeouts timeouts() {
         return timeouts;
     }
 
-    /** Returns whether the dispatcher has a request of this connection. */
+    /** Returns whether a request of this connection has been dispatched and its response has not been sent. */
     boolean hasRequestInFlight() {
-        return inFlight != null;
+        return requestInFlight != null;
     }
 
-    /** Sets the request that the dispatcher has, or is about to be given. */
+    /** Sets the request that has been dispatched, or is about to be. */
     void setRequestInFlight(Exchange exchange) {
-        inFlight = exchange;
+        requestInFlight = exchange;
     }
 
-    /** Forgets the request in flight without notifying it. */
+    /** Forgets the request in flight without notifying its exchange. */
     void clearRequestInFlight() {
-        inFlight = null;
+        requestInFlight = null;
     }
 
-    /** Returns whether no request is complete or in flight, and no response is being written. */
+    /**
+     * Returns whether no request has been received completely or dispatched, no pipelined input is queued, and no
+     * response is being written.
+     */
     boolean hasNoCompleteRequest() {
-        return inFlight == null
+        return requestInFlight == null
                 && (reader.incomingOrNull() == null || !reader.incomingOrNull().complete)
                 && !writer.hasUnwrittenResponse()
                 && pipelined.isEmpty();
     }
 
-    /** Returns whether a complete request waits for its response. */
+    /** Returns whether a request has been received completely and waits for its response. */
     private boolean isBusy() {
-        return reader.incomingOrNull() == null ? inFlight != null : reader.incomingOrNull().complete;
+        return reader.incomingOrNull() == null ? requestInFlight != null : reader.incomingOrNull().complete;
     }
 
-    /** Returns whether input has to wait for the response to an earlier request. */
+    /** Returns whether new input has to be queued until an earlier request has its response. */
     boolean hasToQueueInput() {
         return isBusy() || !pipelined.isEmpty();
     }
 
-    /** Returns whether a request is being received, or input waits behind the one in flight. */
+    /** Returns whether a request is being received or pipelined input is queued. */
     boolean hasUnprocessedInput() {
         return reader.incomingOrNull() != null || !pipelined.isEmpty();
     }
 
-    /** Returns whether the last request received has the method HEAD. */
+    /** Returns whether the request received last has the method HEAD. */
     boolean isHeadRequest() {
         return reader.isHeadRequest();
     }
 
-    /** Returns whether another request may follow the present response; while draining only one already received. */
+    /**
+     * Returns whether another request may follow the present response. It may not while the present request is still
+     * being received. While the node is draining, only a request that has been received already may follow.
+     */
     boolean canKeepAlive() {
         return reader.incomingOrNull() == null && (!frontend.lifecycle().isDraining() || !pipelined.isEmpty());
     }
 
-    /** Returns whether no further request is served on the connection. */
+    /** Returns whether the connection serves no further request. */
     boolean isClosing() {
         return writer.isClosing();
     }
 
-    /** Counts bytes that have been received, of whichever request. */
+    /** Records that bytes have been received, whichever request they belong to. */
     void onBytesReceived() {
         timeouts.onBytesReceived();
     }
 
-    /** Marks the awaited request as received. */
+    /** Records that the request being received is complete. */
     void onRequestComplete() {
         timeouts.onRequestComplete();
         frontend.markRecentlyUsed(this);
     }
 
-    /** Makes the connection ready for its next request. */
+    /** Prepares the connection for its next request. */
     void onResponseSent() {
-        inFlight = null;
+        requestInFlight = null;
         reader.clear();
         timeouts.onResponseSent();
     }
 
-    /** Processes the input that waits, if any, in a turn of the event loop of its own. */
+    /** Schedules the processing of the pipelined input, if there is any, as a separate task of the event loop. */
     void schedulePipelinedInput() {
         if (!pipelined.isEmpty()) {
-            // Not by a direct call: the stack would grow with a long series of invalid requests.
+            // With a direct call, the stack would grow with a long series of invalid requests.
             channel.eventLoop().execute(this::processPipelinedInput);
         }
     }
@@ -160,7 +166,10 @@
         }
     }
 
-    /** Called when the client has sent more behind a request than may be buffered: no other request is served. */
+    /**
+     * Called when the client has sent more pipelined input than may be buffered. The input is dropped, and the
+     * connection serves no request after the present one.
+     */
     void onPipelineOverflow() {
         pipelined.clear();
         if (isBusy()) {
@@ -171,23 +180,24 @@
     }
 
     /**
-     * Closes the connection because what follows can't be parsed. A complete request gets its response first;
-     * an incomplete one is abandoned, and no server has all of it.
+     * Closes the connection because a request is invalid, too long or not received in time. If an earlier request is
+     * complete and has no response yet, the client gets that response and not the error. Otherwise the request being
+     * received is abandoned, of which no server has all bytes, and the client gets the error.
      */
-    void reject(BadRequestException e) {
-        if (writer.isClosing() || (inFlight != null && reader.incomingOrNull() == null)) {
+    void reject(BadRequestException error) {
+        if (writer.isClosing() || (requestInFlight != null && reader.incomingOrNull() == null)) {
             writer.closeAfterResponse();
             return;
         }
         abandonRequest();
-        writer.sendFinalResponse(ResponseFactory.newBadRequest(e));
+        writer.sendFinalResponse(ResponseFactory.newBadRequest(error));
     }
 
-    /** Gives up whatever has been received of a request, and its response. */
+    /** Abandons the request that is being received or in flight, and its response. */
     private void abandonRequest() {
         IncomingRequest incoming = reader.incomingOrNull();
-        Exchange abandoned = inFlight != null || incoming == null ? inFlight : incoming.exchange;
-        inFlight = null;
+        Exchange abandoned = requestInFlight != null || incoming == null ? requestInFlight : incoming.exchange;
+        requestInFlight = null;
         reader.clear();
         writer.stopStreaming();
         if (abandoned != null) {
@@ -215,7 +225,7 @@
         } else if (isBusy() || pipelined.hasMessages()) {
             pipelined.addMessage(object);
         } else {
-            reader.read(object, pipelined.arrivedNs());
+            reader.read(object, pipelined.earliestArrivalNs());
         }
     }
 
@@ -226,15 +236,15 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // The client has disconnected, in the middle of a request perhaps, which it may do.
+        // The client has disconnected, which it may do at any time, even during a request.
         if (cause instanceof IOException) {
             channel.close();
             return;
         }
-        // A fault of this node: a request in flight still gets its response.
+        // Any other exception is a fault of this node. A request in flight still gets a response.
         LOG.log(Level.ERROR, LogEvent.CLIENT_CONNECTION_FAILED.line(channel.remoteAddress()), cause);
-        if (inFlight != null && !inFlight.isAnswered()) {
-            inFlight.fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+        if (requestInFlight != null && !requestInFlight.isAnswered()) {
+            requestInFlight.fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
         } else {
             channel.close();
         }
--- a/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
@@ -12,27 +12,29 @@
 import tansypass.node.lifecycle.Lifecycle;
 
 /**
- * The open connections of clients. It sweeps them periodically: closes those whose request does not arrive, and
- * idle ones while the node is draining. It owns the sweep timer. Used on the event loop only.
+ * The open client connections. A periodic sweep closes those whose request does not arrive in time, and idle ones
+ * while the node is draining. The registry owns the timer of the sweep. Used on the event loop only.
  */
 final class ClientConnectionRegistry {
     private static final long SWEEP_INTERVAL_MS = 100;
     /**
-     * How long the clients' load balancer may continue to send after the node is no longer ready: up to 0.1 s until
-     * its next readiness check, 0.2 s more, and some reserve. Idle connections are closed then, so that their
-     * clients reconnect to another node.
+     * How long the clients' load balancer may continue to send requests after the node has stopped being ready: up to
+     * 0.1 s until its next readiness check, 0.2 s more, and a reserve. Idle connections are closed after this time,
+     * and their clients reconnect to another node.
      */
-    private static final long LOAD_BALANCER_NOTICE_MS = 400;
+    private static final long LOAD_BALANCER_REACTION_MS = 400;
 
     private final Lifecycle lifecycle;
     private final DescriptorLimiter descriptors;
-    /** Least recently used first. */
+    /** The open connections, the least recently used one first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
     private final ScheduledFuture<?> sweepTimer;
-    /** When draining was first seen, by {@link System#nanoTime}; 0 if the node is not draining. */
+    /**
+     * The time at which a sweep first found the node draining, by {@link System#nanoTime}; 0 if it is not draining.
+     */
     private long drainingSinceNs;
-
+    /** Whether new connections get time for their first request before they are closed as idle. */
     private boolean awaitingFirstRequests = true;
 
     /** Creates an empty registry and starts its sweeps. */
@@ -48,12 +50,15 @@
         sweepTimer.cancel(false);
     }
 
-    /** Adds a connection, which has been counted already. */
+    /** Adds a connection, which the descriptor limiter must have counted already. */
     void add(ClientConnection connection) {
         connections.add(connection);
     }
 
-    /** Removes a connection and stops counting it; has no effect on one that has been removed. */
+    /**
+     * Removes a connection from the registry and from the descriptor limiter's count. Has no effect on a connection
+     * that has been removed already.
+     */
     void remove(ClientConnection connection) {
         if (connections.remove(connection)) {
             descriptors.removeClient();
@@ -71,29 +76,32 @@
         return connections.isEmpty();
     }
 
-    /** Gives new connections no further time for their first request, once the node drains. */
+    /**
+     * Ends the grace period for the first request of new connections, and sweeps at once. A draining node then closes
+     * new connections without a request like other idle ones.
+     */
     void stopAwaitingFirstRequests() {
         awaitingFirstRequests = false;
         sweep();
     }
 
-    /** Closes what times out: clients may connect and never send a complete request. */
+    /** Closes the connections that have timed out. Clients may connect and never send a complete request. */
     private void sweep() {
         long nowNs = System.nanoTime();
-        boolean closingIdle = isClosingIdle(nowNs);
+        boolean closingIdle = shouldCloseIdle(nowNs);
         for (ClientConnection connection : new ArrayList<>(connections)) {
             if (connection.timeouts().isOverdue(nowNs)) {
                 connection.reject(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request"));
             } else if (closingIdle
                     && (awaitingFirstRequests
-                            ? connection.timeouts().canBeClosed(nowNs)
+                            ? connection.timeouts().isIdleAfterGrace(nowNs)
                             : connection.timeouts().isIdle())) {
                 connection.close();
             }
         }
     }
 
-    private boolean isClosingIdle(long nowNs) {
+    private boolean shouldCloseIdle(long nowNs) {
         if (!lifecycle.isDraining()) {
             drainingSinceNs = 0;
             return false;
@@ -102,20 +110,20 @@
             drainingSinceNs = nowNs;
         }
         return drainingSinceNs != 0
-                && nowNs - drainingSinceNs >= TimeUnit.MILLISECONDS.toNanos(LOAD_BALANCER_NOTICE_MS);
+                && nowNs - drainingSinceNs >= TimeUnit.MILLISECONDS.toNanos(LOAD_BALANCER_REACTION_MS);
     }
 
     /**
-     * Closes one connection to free its capacity: the least recently used idle one, or if there is none the one
-     * whose request is most delayed. A connection with a complete request is never closed for this.
+     * Closes one connection to free its descriptor: the least recently used idle one or, if none is idle, the one
+     * whose request is delayed most. A connection with a complete request is never closed for this reason.
      *
-     * @return false if there is none to close
+     * @return false if there is no connection that can be closed
      */
     boolean reclaimOne() {
         long nowNs = System.nanoTime();
         ClientConnection mostDelayed = null;
         for (ClientConnection connection : connections) {
-            if (connection.timeouts().canBeClosed(nowNs)) {
+            if (connection.timeouts().isIdleAfterGrace(nowNs)) {
                 closeAndRemove(connection);
                 return true;
             }
@@ -134,8 +142,9 @@
     }
 
     /**
-     * Stops counting the connection at once: its end is reported only later in the event loop's turn, and until
-     * then each further connection accepted in this turn would choose the same one again.
+     * Closes a connection and stops counting it at once. The channel reports its end only later in the same iteration
+     * of the event loop. Until then, each further connection accepted in this iteration would choose the same
+     * connection again.
      */
     private void closeAndRemove(ClientConnection connection) {
         remove(connection);
--- a/node/src/main/java/tansypass/node/frontend/ClientRequest.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientRequest.java
@@ -14,14 +14,14 @@
 /**
  * A client's request, parsed and validated.
  *
- * @param id its {@code X-Txn}
+ * @param id the value of its {@code X-Txn} header
  * @param classIndex index of its class in the settings
  * @param tenant index of its tenant in the settings, or -1
- * @param remainingUs how long the client waits, in microseconds from when it sent the request
- * @param workUs the client's estimate of its execution time in microseconds, or 0
- * @param retry whether the client has sent it before
+ * @param remainingUs how long the client waits for the response, in microseconds from when it sent the request
+ * @param workUs the client's estimate of the request's execution time in microseconds, or 0 if it gave none
+ * @param retry whether the client has sent the request before
  * @param headers the end-to-end headers, which are forwarded to a server
- * @param declaredLengthBytes the length of its body as its head gives it, or -1
+ * @param declaredLengthBytes the length of its body as declared in its head, or -1 if that declares none
  */
 public record ClientRequest(
         long id,
@@ -40,15 +40,18 @@
 
     private static final long US_PER_MS = 1_000;
 
-    /** Returns whether its class is idempotent: of these classes, and of no others, the parser accepts GET. */
+    /**
+     * Returns whether the request's class is idempotent. The parser accepts GET for the idempotent classes only, and
+     * no other method for them.
+     */
     public boolean isIdempotent() {
         return method.equals(HttpMethod.GET);
     }
 
     /**
-     * Creates the message for a server; only its head while the body is being received.
+     * Creates the message to a server. It consists of the head only while the body is still being received.
      *
-     * @param waitUs how long the response is waited for, in microseconds
+     * @param waitUs how long the node waits for the response, in microseconds
      */
     public HttpRequest createUpstreamMessage(long waitUs) {
         HttpRequest message = body.isComplete()
@@ -65,11 +68,12 @@
         return message;
     }
 
-    private void setBodyHeaders(HttpHeaders target) {
+    private void setBodyHeaders(HttpHeaders upstreamHeaders) {
         if (!body.isComplete() && declaredLengthBytes < 0) {
-            target.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            upstreamHeaders.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else if (!body.isComplete() || body.length() > 0 || method.equals(HttpMethod.POST)) {
-            target.set(HttpHeaderNames.CONTENT_LENGTH, body.isComplete() ? body.length() : declaredLengthBytes);
+            upstreamHeaders.set(
+                    HttpHeaderNames.CONTENT_LENGTH, body.isComplete() ? body.length() : declaredLengthBytes);
         }
     }
 }
--- a/node/src/main/java/tansypass/node/frontend/ClientRequestParser.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientRequestParser.java
@@ -14,14 +14,14 @@
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.RequestBody;
 
-/** Parses the heads of clients' requests with the classes and tenants of the settings. Immutable. */
+/** Parses the heads of clients' requests according to the classes and tenants of the settings. Immutable. */
 public final class ClientRequestParser {
     private static final String ID_HEADER = "X-Txn";
     private static final String TENANT_HEADER = "X-Org";
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     private static final String RETRY_HEADER = "X-Resent";
     private static final String ESTIMATE_HEADER = "X-Estimate";
-    /** Valid for one connection only, or set anew for the next. */
+    /** Headers that are valid for one connection only, or that the node sets itself in the message to a server. */
     private static final CharSequence[] HOP_BY_HOP_HEADERS = {
         HttpHeaderNames.CONNECTION,
         "Keep-Alive",
@@ -36,7 +36,10 @@
     };
 
     private static final int NO_TENANT = -1;
-    /** Milliseconds of more digits, over eleven days, are no waiting time. */
+    /**
+     * Numbers with more digits are rejected: so many milliseconds, over eleven days, can't be a client's waiting
+     * time.
+     */
     private static final int MAX_REMAINING_DIGITS = 9;
 
     private static final int MAX_ESTIMATE_DIGITS = 12;
@@ -56,8 +59,8 @@
     /**
      * Parses a head.
      *
-     * @param body where the body will be received
-     * @throws BadRequestException if a header is missing or invalid, with the status to respond with
+     * @param body receives the body of the request
+     * @throws BadRequestException if a header is missing or invalid; it holds the status of the response
      */
     ClientRequest parse(HttpRequest head, RequestBody body) throws BadRequestException {
         HttpHeaders headers = head.headers();
@@ -80,7 +83,10 @@
                 body);
     }
 
-    /** Returns the index of the request's class, whose method and idempotency key it must have. */
+    /**
+     * Returns the index of the request's class, and checks that the request has the method and the idempotency key
+     * that the class requires.
+     */
     private int parseClass(HttpRequest head) throws BadRequestException {
         Integer classIndex = classIndexes.get(firstPathSegment(head.uri()));
         if (classIndex == null) {
--- a/node/src/main/java/tansypass/node/frontend/ConnectionAcceptor.java
+++ b/node/src/main/java/tansypass/node/frontend/ConnectionAcceptor.java
@@ -20,20 +20,20 @@
 import tansypass.node.lifecycle.ReusePortServerChannel;
 
 /**
- * Accepts clients' connections, and pauses while there is no capacity for more: they wait in the kernel's accept
- * queue. It owns the listening channel and the timer of its pauses. Used on the event loop only.
+ * Accepts client connections. It pauses while there is no capacity for more, and new connections then wait in the
+ * kernel's accept queue. It owns the listening channel and the timer of its pauses. Used on the event loop only.
  */
 final class ConnectionAcceptor {
     private static final int ACCEPT_QUEUE_LENGTH = 1_024;
-    /** How often one client is read before the event loop turns to the next. */
-    private static final int MAX_READS_PER_TURN = 16;
+    /** The maximum number of reads from one client before the event loop proceeds to the next channel. */
+    private static final int MAX_READS_PER_ITERATION = 16;
 
-    private static final long RETRY_INTERVAL_MS = 50;
+    private static final long RESUME_RETRY_INTERVAL_MS = 50;
 
     private final EventLoop loop;
     private final DescriptorLimiter descriptors;
     private final Consumer<ChannelPipeline> initializer;
-    /** Null until it listens on the clients' address. */
+    /** The channel that listens on the clients' address; null until {@link #listen} is called. */
     private ReusePortServerChannel listener;
 
     /**
@@ -54,7 +54,7 @@
         return bind(group, created, address);
     }
 
-    /** Binds another address, whose channel is never paused and is closed by the caller. */
+    /** Binds an address for the warm-up. Its channel is never paused, and the caller closes it. */
     ChannelFuture listenForWarmUp(EventLoopGroup group, SocketAddress address) {
         return bind(group, new NioServerSocketChannel(), address);
     }
@@ -79,59 +79,65 @@
     }
 
     /**
-     * Reads until nothing is left, not until a buffer is not full: so a disconnect is seen in the same turn as
-     * what was sent before it.
+     * Creates an allocator with which a channel is read until nothing is left, and not only until a read does not
+     * fill its buffer. A disconnect is therefore seen in the same iteration of the event loop as the bytes sent
+     * before it.
      */
     private static AdaptiveRecvByteBufAllocator createReceiveAllocator() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator(
                 ConnectionBufferLimits.MIN_READ_BYTES,
                 ConnectionBufferLimits.INITIAL_READ_BYTES,
                 ConnectionBufferLimits.MAX_READ_BYTES);
-        allocator.respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN);
+        allocator.respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_ITERATION);
         return allocator;
     }
 
-    /** Returns whether it has listened on the clients' address. */
+    /** Returns whether {@link #listen} has been called. */
     boolean hasListener() {
         return listener != null;
     }
 
-    /** Accepts the connections that are pending, then no more, and runs {@code whenClosed}. */
+    /** Accepts the pending connections, closes the listening channel and runs {@code whenClosed}. */
     void closeAfterAccepting(Runnable whenClosed) {
         listener.closeAfterAccepting(whenClosed);
     }
 
-    /** Stops accepting until there is capacity. */
+    /** Pauses accepting until there is capacity. */
     void pause() {
         if (listener != null) {
             listener.pause();
-            scheduleRetry();
+            scheduleResumeRetry();
         }
     }
 
-    /** Accepts again if there is capacity, after it was paused. */
+    /** Resumes accepting if it is paused and there is capacity. */
     void resume() {
         if (listener != null && listener.isOpen() && listener.isPaused() && descriptors.hasClientCapacity()) {
             listener.resume();
         }
     }
 
-    private void scheduleRetry() {
-        loop.schedule(this::retry, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    private void scheduleResumeRetry() {
+        loop.schedule(this::resumeOrRetryLater, RESUME_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Capacity is not always reported: a connection that has become idle since the pause can be reclaimed. */
-    private void retry() {
+    /**
+     * Ends the pause if capacity can be reclaimed, and retries later otherwise. The limiter does not report all new
+     * capacity: a connection that has become idle since the pause began can be reclaimed.
+     */
+    private void resumeOrRetryLater() {
         if (listener.isOpen() && listener.isPaused()) {
             if (descriptors.reclaimClientCapacity()) {
                 resume();
             } else {
-                scheduleRetry();
+                scheduleResumeRetry();
             }
         }
     }
 
-    /** Pauses when the system has no descriptor left, whatever the limiter counts. */
+    /**
+     * Pauses accepting when the operating system has no descriptor left, even if the limiter still counts free ones.
+     */
     private final class DescriptorExhaustionHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/node/src/main/java/tansypass/node/frontend/Exchange.java
+++ b/node/src/main/java/tansypass/node/frontend/Exchange.java
@@ -16,8 +16,8 @@
 import tansypass.node.http.UpstreamResponse;
 
 /**
- * A client's request and the one response that it gets. A second complete response is discarded. Used on the event
- * loop only.
+ * A client's request and the one response that the client gets. A second complete response is discarded. Used on the
+ * event loop only.
  */
 public final class Exchange {
     private static final long US_PER_MS = 1_000;
@@ -35,7 +35,7 @@
     private long earliestArrivalNs;
     private boolean complete;
     private boolean answered;
-    /** The response if it is a streamed one that has started, or null. */
+    /** The streamed response that has been started, or null. */
     private ResponseStream stream;
 
     /** Creates the exchange of a request whose head has been received. */
@@ -48,7 +48,7 @@
         request.body().setListeners(connection.reader()::updateReading, () -> notReplayableListener.run());
     }
 
-    /** Returns the request; its body may still be being received. */
+    /** Returns the request. Its body may not have been received completely yet. */
     public ClientRequest request() {
         return request;
     }
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Marks the request as received.
+     * Records that the request has been received completely.
      *
      * @param lastByteNs the earliest time at which its last byte may have arrived, by {@link System#nanoTime}
      */
@@ -74,23 +74,26 @@
         completionListener.run();
     }
 
-    /** Returns whether the last byte has been received. */
+    /** Returns whether the request has been received completely. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Sets what runs when the last byte has been received, and when the body stops being replayable. */
+    /**
+     * Sets the callbacks that run when the request has been received completely, and when its body stops being
+     * replayable.
+     */
     public void setUploadListeners(Runnable whenComplete, Runnable whenNotReplayable) {
         completionListener = whenComplete;
         notReplayableListener = whenNotReplayable;
     }
 
-    /** Sets what runs if the client disconnects before its response has been sent. */
+    /** Sets the callback that runs if the client disconnects before its response has been sent. */
     public void setDisconnectListener(Runnable listener) {
         disconnectListener = listener;
     }
 
-    /** Sends a server's complete response. */
+    /** Sends a server's complete response to the client. */
     public void sendResponse(UpstreamResponse upstream) {
         FullHttpResponse response = ResponseFactory.newResponse(HttpResponseStatus.OK, upstream.body());
         if (upstream.contentType() != null) {
@@ -100,9 +103,9 @@
     }
 
     /**
-     * Starts a streamed response, which ends with {@link ResponseBodySink#finish} or {@link #abort}.
+     * Starts a streamed response. The caller ends it with {@link ResponseBodySink#finish} or {@link #abort}.
      *
-     * @param contentType may be null
+     * @param contentType the content type, or null for none
      * @param lengthBytes the body's length, or -1 if it is unknown
      * @param whenWritable runs when the connection is writable again after it was not
      * @return the sink of the body
@@ -124,12 +127,12 @@
         return stream;
     }
 
-    /** Returns whether the streamed response is known to be too long to buffer; it must have started. */
+    /** Returns whether the streamed response, which must have started, is known to be too long to be buffered. */
     public boolean isLongResponse() {
         return stream.isLong();
     }
 
-    /** Returns the nanoseconds since the last part of the streamed response, which must have started. */
+    /** Returns the time since the last part of the streamed response, which must have started. */
     public long responseIdleNs() {
         return stream.idleNs();
     }
@@ -140,14 +143,16 @@
     }
 
     /**
-     * Returns whether the streamed response was below the lowest accepted rate since the measurement started, or
-     * is over the length limit; and starts the next measurement.
+     * Returns whether the streamed response has been below the lowest accepted rate since the measurement started, or
+     * is over the length limit. Starts the next measurement.
      */
     public boolean isResponseTooSlowOrTooLong() {
         return stream.isTooSlowOrTooLong();
     }
 
-    /** Aborts a streamed response, in a way that shows the client that it is incomplete. */
+    /**
+     * Aborts a streamed response by resetting the connection, which shows the client that the response is incomplete.
+     */
     public void abort() {
         metrics.recordResponse(request.classIndex(), NodeMetrics.Outcome.FAILED);
         recordFinished();
@@ -162,7 +167,7 @@
     /**
      * Responds that the request was not executed and can be retried.
      *
-     * @param retryAfterUs microseconds until it is best retried; 0 or less gives no advice
+     * @param retryAfterUs the time after which a retry is advised, in microseconds; 0 or less for no advice
      */
     public void reject(long retryAfterUs) {
         FullHttpResponse response =
@@ -173,7 +178,7 @@
         send(response);
     }
 
-    /** Formats whole seconds as such, and others rounded up to milliseconds. */
+    /** Formats a duration in seconds: as an integer if it is one, otherwise rounded up to milliseconds. */
     private static String formatSeconds(long durationUs) {
         if (durationUs % US_PER_SECOND == 0) {
             return Long.toString(durationUs / US_PER_SECOND);
@@ -182,12 +187,12 @@
         return Double.toString(wholeMs / MS_PER_SECOND);
     }
 
-    /** Responds with an error that does not say whether the request was executed. */
+    /** Responds with an error that does not tell the client whether the request was executed. */
     public void fail(HttpResponseStatus status, String reason) {
         send(ResponseFactory.newText(status, reason));
     }
 
-    /** Ends the exchange because the client has disconnected or its request was rejected: nothing is sent. */
+    /** Ends the exchange without a response, because the client has disconnected or its request was rejected. */
     void disconnect() {
         answered = true;
         recordFinished();
@@ -195,7 +200,7 @@
         disconnectListener.run();
     }
 
-    /** Counts the streamed response once its last byte has been written. */
+    /** Records the outcome of the streamed response once its last byte has been written. */
     void onStreamFinished(ChannelFuture writing) {
         recordWhenWritten(writing, NodeMetrics.Outcome.SERVED);
     }
--- a/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
+++ b/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
@@ -16,17 +16,17 @@
 import tansypass.node.lifecycle.Lifecycle;
 
 /**
- * The client side of a node: accepts connections, reads requests and hands them to a dispatcher. It wires the
- * {@link ConnectionAcceptor}, the {@link ClientConnectionRegistry} and the connections. Used on the event loop
- * only.
+ * The client side of a node: accepts connections, reads requests and passes them to a dispatcher. It connects the
+ * {@link ConnectionAcceptor}, the {@link ClientConnectionRegistry} and the connections. Used on the event loop only.
  */
 public final class HttpFrontend {
-    /** Carries the token of the warm-up's requests, which this node responds to itself. */
+    /** The header with the token of the warm-up's requests, to which this node responds itself. */
     public static final String WARM_UP_HEADER = "X-Rehearsal";
 
     /**
-     * How long the connections accepted last have for their first request: one that arrived 0.7 s after the
-     * stop began and gets no response is lost.
+     * How long the connections accepted last may stay open without a request. Accepting ends 0.6 s after the shutdown
+     * began, and a request that arrives more than 0.7 s after that beginning might get no response before the process
+     * is killed.
      */
     private static final long LAST_REQUESTS_GRACE_MS = 60;
 
@@ -65,7 +65,7 @@
         descriptors.setClientCallbacks(connections::reclaimOne, acceptor::resume);
     }
 
-    /** Stops the periodic check of the connections; for the end of a warm-up. */
+    /** Stops the periodic sweep of the connections. For a frontend that has not served clients. */
     public void close() {
         connections.close();
     }
@@ -75,7 +75,7 @@
         return acceptor.listen(group, address);
     }
 
-    /** Binds an address for the warm-up only; the caller closes the channel. */
+    /** Binds an address for the warm-up. The caller closes the channel. */
     public ChannelFuture listenForWarmUp(EventLoopGroup group, SocketAddress address) {
         return acceptor.listenForWarmUp(group, address);
     }
@@ -85,12 +85,15 @@
         new ClientConnection(this, pipeline.channel()).addHandlers(pipeline);
     }
 
-    /** Responds locally to requests with this token in {@link #WARM_UP_HEADER}, also after the warm-up's end. */
+    /**
+     * Sets the token that marks requests of the warm-up in {@link #WARM_UP_HEADER}. This node responds to them
+     * itself, even after the end of the warm-up.
+     */
     public void setWarmUpToken(String token) {
         localResponder.setWarmUpToken(token);
     }
 
-    /** Accepts the connections that are pending, then no more, and runs {@code whenStopped}. */
+    /** Accepts the pending connections, closes the listening channel and runs {@code whenStopped}. */
     public void stopAccepting(Runnable whenStopped) {
         if (!acceptor.hasListener()) {
             whenStopped.run();
@@ -100,12 +103,12 @@
         loop.schedule(connections::stopAwaitingFirstRequests, LAST_REQUESTS_GRACE_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Returns whether all connections are closed, after their responses. */
+    /** Returns whether all client connections are closed, which they are after their responses. */
     public boolean isDrained() {
         return connections.isEmpty();
     }
 
-    /** Counts an accepted connection, and pauses accepting if there is no capacity for another. */
+    /** Adds an accepted connection, and pauses accepting if there is no capacity for another one. */
     void addConnection(ClientConnection connection) {
         descriptors.addClient();
         if (!descriptors.reclaimClientCapacity()) {
@@ -119,22 +122,22 @@
         connections.remove(connection);
     }
 
-    /** Makes the connection the last to be reclaimed. */
+    /** Records that the connection is the most recently used one, which is reclaimed last. */
     void markRecentlyUsed(ClientConnection connection) {
         connections.markRecentlyUsed(connection);
     }
 
-    /** Returns whether the node serves clients. */
+    /** Returns the lifecycle, which has the state of the node. */
     Lifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** Returns the limiter of what all connections together buffer. */
+    /** Returns the limiter of the memory in which all connections together buffer bodies and input. */
     BodyMemoryLimiter memoryLimiter() {
         return memoryLimiter;
     }
 
-    /** Returns the responder to requests that are for this node itself. */
+    /** Returns the responder to the requests for the node itself. */
     LocalResponder localResponder() {
         return localResponder;
     }
@@ -145,15 +148,15 @@
     }
 
     /**
-     * Creates the exchange of a request whose head has been received; it is not dispatched yet.
+     * Creates the exchange of a request whose head has been received, and does not dispatch it.
      *
-     * @throws BadRequestException if the head is invalid, with the status to respond with
+     * @throws BadRequestException if the head is invalid; it holds the status of the response
      */
     Exchange createExchange(ClientConnection connection, HttpRequest head) throws BadRequestException {
         return new Exchange(connection, metrics, parser.parse(head, new RequestBody(memoryLimiter)), head);
     }
 
-    /** Hands a request to the dispatcher, which may respond to it before this returns. */
+    /** Passes a request to the dispatcher, which may respond to it before this method returns. */
     void dispatch(Exchange exchange) {
         dispatcher.accept(exchange);
     }
--- a/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
+++ b/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
@@ -6,37 +6,37 @@
 
 /** A request whose head has been received and whose end has not been processed. Used on the event loop only. */
 final class IncomingRequest {
-    /** The lowest rate that a client may send or read a body with. */
+    /** The lowest accepted rate at which a client sends or reads a body. */
     static final long MIN_BYTES_PER_SECOND = 16 * 1024;
 
-    /** The shortest interval that the rate is measured over. */
+    /** The shortest interval over which the rate is measured. */
     private static final long RATE_WINDOW_MS = 700;
 
     final HttpRequest head;
-    /** Null if this node responds to the request itself. */
+    /** The request's exchange; null if the request is invalid or this node responds to it itself. */
     Exchange exchange;
-    /** Why the request is invalid, or null. */
+    /** The error for the response if the request is invalid, or null. */
     BadRequestException failure;
-    /** Whether the last part has been received, though not processed: see {@link RequestReader}. */
+    /** Whether the last part has been received. {@link RequestReader} processes it only later. */
     boolean complete;
-    /** Whether reading from the client was suspended for a while. */
+    /** Whether reading from the client has ever been suspended during this request. */
     boolean readingSuspended;
 
     long receivedBytes;
     private long windowStartBytes;
     private long windowStartNs = System.nanoTime();
 
-    /** Creates a request without a body so far. */
+    /** Creates a request of which no body has been received. */
     IncomingRequest(HttpRequest head) {
         this.head = head;
     }
 
     /**
-     * Returns whether the body has been received below the lowest rate, and starts the next measurement. False
-     * before the end of the window.
+     * Returns whether the body has been received below the lowest accepted rate, and starts the next measurement.
+     * Returns false without doing so while the present measurement is shorter than its window.
      *
      * @param nowNs the present {@link System#nanoTime}
-     * @param reading whether the connection is being read: if not, the rate is not the client's
+     * @param reading whether the connection is being read; otherwise the rate does not depend on the client
      */
     boolean isTooSlow(long nowNs, boolean reading) {
         long elapsedNs = nowNs - windowStartNs;
--- a/node/src/main/java/tansypass/node/frontend/LocalResponder.java
+++ b/node/src/main/java/tansypass/node/frontend/LocalResponder.java
@@ -8,7 +8,7 @@
 import tansypass.node.http.ResponseFactory;
 import tansypass.node.lifecycle.Lifecycle;
 
-/** Responds to the requests that are for the node itself: readiness checks and its warm-up. */
+/** Responds to the requests for the node itself: readiness checks and the requests of its warm-up. */
 final class LocalResponder {
     private static final String READINESS_URI = "/ready";
 
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Sets the token of the warm-up's requests. It stays valid after the warm-up's end: after one that
-     * timed out some of its requests may still arrive, and must not reach a server.
+     * Sets the token of the warm-up's requests. It stays valid after the warm-up. If the warm-up timed out, some of
+     * its requests may still arrive, and they must not reach a server.
      */
     void setWarmUpToken(String token) {
         warmUpToken = token;
--- a/node/src/main/java/tansypass/node/frontend/PipelinedInput.java
+++ b/node/src/main/java/tansypass/node/frontend/PipelinedInput.java
@@ -14,65 +14,66 @@
 import tansypass.node.lifecycle.ReusePortServerChannel.AcceptQueueWait;
 
 /**
- * What a client sends while an earlier request waits for its response (HTTP pipelining). It owns these bytes and
- * messages until they are processed or cleared. It comes before the decoder in the pipeline: it sees bytes
- * before a head is complete, and keeps those that have to wait undecoded, so that reading continues and detects
- * a disconnect. Used on the event loop only.
+ * The input that a client sends while an earlier request waits for its response (HTTP pipelining). It owns these
+ * bytes and messages until they are processed or cleared. It precedes the decoder in the channel's pipeline for two
+ * reasons: it sees bytes before a head is complete, and it keeps queued bytes undecoded, so that reading continues
+ * and detects a disconnect. Used on the event loop only.
  */
 final class PipelinedInput extends ChannelInboundHandlerAdapter {
-    /** A decoded message, and when it may have arrived at the earliest, by {@link System#nanoTime}. */
-    private record PipelinedMessage(HttpObject message, long arrivedNs) {}
+    /** A decoded message and the earliest time at which it may have arrived, by {@link System#nanoTime}. */
+    private record PipelinedMessage(HttpObject message, long earliestArrivalNs) {}
 
     private final ClientConnection connection;
-    /** Decoded from the same read as the request that is being served. */
-    private final Deque<PipelinedMessage> messages = new ArrayDeque<>();
+    /** The messages that were decoded from the same read as the request that is being served. */
+    private final Deque<PipelinedMessage> decodedMessages = new ArrayDeque<>();
 
-    private final InboundBuffer undecoded;
+    private final InboundBuffer undecodedBytes;
     private ChannelHandlerContext context;
-    private long arrivedNs;
+    /** The earliest time at which the bytes being decoded may have arrived, by {@link System#nanoTime}. */
+    private long earliestArrivalNs;
 
     /** Creates an empty queue whose bytes count against the limiter. */
     PipelinedInput(ClientConnection connection, BodyMemoryLimiter memoryLimiter) {
         this.connection = connection;
-        undecoded = new InboundBuffer(memoryLimiter);
+        undecodedBytes = new InboundBuffer(memoryLimiter);
     }
 
-    /** Returns whether no message and no bytes are queued. */
+    /** Returns whether neither messages nor bytes are queued. */
     boolean isEmpty() {
-        return messages.isEmpty() && undecoded.isEmpty();
+        return decodedMessages.isEmpty() && undecodedBytes.isEmpty();
     }
 
-    /** Returns whether decoded messages wait. */
+    /** Returns whether decoded messages are queued. */
     boolean hasMessages() {
-        return !messages.isEmpty();
+        return !decodedMessages.isEmpty();
     }
 
-    /** Returns when the bytes that are being decoded may have arrived at the earliest, by {@link System#nanoTime}. */
-    long arrivedNs() {
-        return arrivedNs;
+    /** Returns the earliest time at which the bytes being decoded may have arrived, by {@link System#nanoTime}. */
+    long earliestArrivalNs() {
+        return earliestArrivalNs;
     }
 
     /** Appends a message that has just been decoded, and takes over its reference. */
     void addMessage(HttpObject message) {
-        messages.add(new PipelinedMessage(message, arrivedNs));
+        decodedMessages.add(new PipelinedMessage(message, earliestArrivalNs));
     }
 
-    /** Hands the oldest message to the reader, or if there is none the oldest bytes to the decoder. */
+    /** Passes the oldest message to the reader or, if there is no message, the oldest bytes to the decoder. */
     void processNext(RequestReader reader) {
-        if (messages.isEmpty()) {
-            arrivedNs = undecoded.oldestArrivalNs();
-            context.fireChannelRead(undecoded.poll());
+        if (decodedMessages.isEmpty()) {
+            earliestArrivalNs = undecodedBytes.oldestArrivalNs();
+            context.fireChannelRead(undecodedBytes.poll());
         } else {
-            PipelinedMessage next = messages.poll();
-            reader.read(next.message, next.arrivedNs);
+            PipelinedMessage next = decodedMessages.poll();
+            reader.read(next.message, next.earliestArrivalNs);
         }
     }
 
-    /** Releases everything. */
+    /** Drops and releases all queued input. */
     void clear() {
-        messages.forEach(pipelined -> ReferenceCountUtil.release(pipelined.message));
-        messages.clear();
-        undecoded.clear();
+        decodedMessages.forEach(pipelined -> ReferenceCountUtil.release(pipelined.message));
+        decodedMessages.clear();
+        undecodedBytes.clear();
     }
 
     @Override
@@ -86,21 +87,24 @@
         if (connection.isClosing()) {
             ReferenceCountUtil.release(message);
         } else if (connection.hasToQueueInput()) {
-            undecoded.add((ByteBuf) message, ArrivalEstimator.earliestArrivalNs());
-            if (undecoded.isOverLimit()) {
+            undecodedBytes.add((ByteBuf) message, ArrivalEstimator.earliestArrivalNs());
+            if (undecodedBytes.isOverLimit()) {
                 connection.onPipelineOverflow();
             }
         } else {
-            arrivedNs = takeArrivalNs();
+            earliestArrivalNs = takeEarliestArrivalNs();
             ctx.fireChannelRead(message);
         }
     }
 
-    /** The first bytes of a connection may have waited as long as the connection itself. */
-    private long takeArrivalNs() {
-        long earliestNs = ArrivalEstimator.earliestArrivalNs();
+    /**
+     * Returns the earliest time at which the bytes being read may have arrived. The first bytes of a connection may
+     * have waited in the kernel as long as the connection itself.
+     */
+    private long takeEarliestArrivalNs() {
+        long readArrivalNs = ArrivalEstimator.earliestArrivalNs();
         AcceptQueueWait wait =
                 context.channel().attr(ReusePortServerChannel.ACCEPT_QUEUE_WAIT).getAndSet(null);
-        return wait == null ? earliestNs : wait.firstBytesNs(earliestNs);
+        return wait == null ? readArrivalNs : wait.firstBytesNs(readArrivalNs);
     }
 }
--- a/node/src/main/java/tansypass/node/frontend/RequestHeadValidator.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestHeadValidator.java
@@ -9,9 +9,9 @@
 import tansypass.node.http.BadRequestException;
 import tansypass.node.http.HttpMessageValidator;
 
-/** Validates what is required of requests of every class, and creates the errors to respond with. */
+/** Validates the parts of a request's head that are common to all classes, and creates the errors to respond with. */
 final class RequestHeadValidator {
-    /** Bodies reach 32 MB; no client sends one well past that. */
+    /** The length limit of a body. Clients send bodies of up to 32 MB, and none much longer. */
     static final long MAX_BODY_BYTES = 40L << 20;
 
     private RequestHeadValidator() {}
@@ -19,11 +19,11 @@
     /**
      * Checks a request's length, transfer coding and expectation.
      *
-     * @throws BadRequestException if the request can't be served, with the status to respond with
+     * @throws BadRequestException if the request can't be served; it holds the status of the response
      */
     static void validate(HttpRequest head) throws BadRequestException {
         if (isTooLarge(head)) {
-            throw bodyTooLarge();
+            throw newBodyTooLarge();
         }
         if (HttpMessageValidator.hasUnsupportedTransferCoding(head)) {
             throw new BadRequestException(HttpResponseStatus.BAD_REQUEST, "unknown transfer coding");
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Returns whether the head announces a body over the limit. */
+    /** Returns whether the head declares a body over the limit. */
     static boolean isTooLarge(HttpRequest head) {
         return HttpUtil.getContentLength(head, 0L) > MAX_BODY_BYTES;
     }
@@ -44,11 +44,11 @@
     }
 
     /** Creates the error of a body over the limit. */
-    static BadRequestException bodyTooLarge() {
+    static BadRequestException newBodyTooLarge() {
         return new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
     }
 
-    /** Translates a failure of the decoder. */
+    /** Converts a failure of the decoder to the error to respond with. */
     static BadRequestException toBadRequest(Throwable decoderFailure) {
         if (decoderFailure instanceof TooLongHttpLineException) {
             return new BadRequestException(HttpResponseStatus.REQUEST_URI_TOO_LONG, "request line too long");
--- a/node/src/main/java/tansypass/node/frontend/RequestReader.java
+++ b/node/src/main/java/tansypass/node/frontend/RequestReader.java
@@ -16,22 +16,30 @@
 import tansypass.node.http.ResponseFactory;
 
 /**
- * Reads a connection's requests from decoded messages, one at a time, and suspends reading while the window of a
- * body is full. It owns the request being received. Used on the event loop only.
+ * Reads a connection's requests from decoded messages, one request at a time. It suspends reading from the channel
+ * while the window of a body is full. It owns the request being received. Used on the event loop only.
  */
 final class RequestReader {
-    /** Bytes that are read and discarded of a body that is not forwarded, to keep the connection usable. */
+    /**
+     * The maximum number of bytes that are read and discarded of a body that is not forwarded. Discarding them keeps
+     * the connection usable; with a longer body, it is closed.
+     */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
-    /** How long the end of a request waits if its client was not read for a while, so that it is read first. */
-    private static final long RECHECK_DELAY_MS = 1;
+    /**
+     * The delay before a request's end is processed if reading was suspended during the request. The client's socket
+     * is read in the meantime.
+     */
+    private static final long COMPLETION_DELAY_MS = 1;
 
     private final HttpFrontend frontend;
     private final ClientConnection connection;
     private final Channel channel;
+    /** The request being received, or null. */
     private IncomingRequest incoming;
-    private boolean headRequest;
 
-    /** Creates a reader that has received nothing. */
+    private boolean lastRequestIsHead;
+
+    /** Creates the reader of a connection on which nothing has been received. */
     RequestReader(HttpFrontend frontend, ClientConnection connection, Channel channel) {
         this.frontend = frontend;
         this.connection = connection;
@@ -43,22 +51,22 @@
         return incoming;
     }
 
-    /** Forgets the request being received; the remainder of it is ignored. */
+    /** Forgets the request being received, and ignores the remainder of it. */
     void clear() {
         incoming = null;
     }
 
-    /** Returns whether the last request received has the method HEAD: its response has no body. */
+    /** Returns whether the request received last has the method HEAD, and its response therefore no body. */
     boolean isHeadRequest() {
-        return headRequest;
+        return lastRequestIsHead;
     }
 
     /**
      * Processes a message and releases it.
      *
-     * @param arrivedNs when it may have arrived at the earliest, by {@link System#nanoTime}
+     * @param earliestArrivalNs the earliest time at which the message may have arrived, by {@link System#nanoTime}
      */
-    void read(HttpObject message, long arrivedNs) {
+    void read(HttpObject message, long earliestArrivalNs) {
         try {
             if (message.decoderResult().isFailure()) {
                 connection.reject(RequestHeadValidator.toBadRequest(
@@ -69,7 +77,7 @@
                 startRequest(head);
             }
             if (message instanceof LastHttpContent last && incoming != null) {
-                scheduleCompletion(last.content().retain(), arrivedNs);
+                scheduleCompletion(last.content().retain(), earliestArrivalNs);
             } else if (message instanceof HttpContent content && incoming != null) {
                 receiveBody(content.content());
             }
@@ -80,7 +88,7 @@
 
     private void startRequest(HttpRequest head) {
         incoming = new IncomingRequest(head);
-        headRequest = head.method().equals(HttpMethod.HEAD);
+        lastRequestIsHead = head.method().equals(HttpMethod.HEAD);
         boolean expectsContinue = RequestHeadValidator.hasExpectation(head);
         try {
             RequestHeadValidator.validate(head);
@@ -93,7 +101,7 @@
         } catch (BadRequestException e) {
             incoming.failure = e;
             if (expectsContinue || RequestHeadValidator.isTooLarge(head)) {
-                // Reading the body would be a waste.
+                // The error does not depend on the body: don't read it.
                 connection.reject(e);
             }
         }
@@ -104,12 +112,12 @@
         Exchange exchange = incoming.exchange;
         if (exchange == null) {
             if (incoming.receivedBytes > MAX_DISCARDED_BYTES) {
-                connection.reject(incoming.failure == null ? RequestHeadValidator.bodyTooLarge() : incoming.failure);
+                connection.reject(incoming.failure == null ? RequestHeadValidator.newBodyTooLarge() : incoming.failure);
             }
             return;
         }
         if (incoming.receivedBytes > RequestHeadValidator.MAX_BODY_BYTES) {
-            connection.reject(RequestHeadValidator.bodyTooLarge());
+            connection.reject(RequestHeadValidator.newBodyTooLarge());
             return;
         }
         RequestBody body = exchange.request().body();
@@ -121,7 +129,10 @@
         updateReading();
     }
 
-    /** Suspends or resumes reading. Reading continues unless a window is full: only reading detects a disconnect. */
+    /**
+     * Suspends reading while the window of the body is full, and resumes it otherwise. There is no other reason to
+     * suspend it, because only reading detects a disconnect.
+     */
     void updateReading() {
         boolean windowFull = incoming != null
                 && !incoming.complete
@@ -134,29 +145,30 @@
     }
 
     /**
-     * Processes the end of a request only after all that the system has received on any connection has been read:
-     * the request may have waited there for long, with the client's disconnect right behind it, and so may the
-     * end of a server's idle connection. A client that was not read for a while is read first.
+     * Schedules the processing of a request's end. It comes after everything has been read that the kernel has
+     * received on any connection: the request may have waited in the kernel for a long time, and the client's
+     * disconnect may wait right behind it, as may the end of an idle connection to a server. If reading from the
+     * client was suspended, its socket is read first.
      */
-    private void scheduleCompletion(ByteBuf lastPart, long arrivedNs) {
+    private void scheduleCompletion(ByteBuf lastPart, long earliestArrivalNs) {
         IncomingRequest completed = incoming;
         completed.complete = true;
         updateReading();
-        Runnable completion = () -> processLastPart(completed, lastPart, arrivedNs);
+        Runnable completion = () -> processLastPart(completed, lastPart, earliestArrivalNs);
         if (completed.readingSuspended) {
-            channel.eventLoop().schedule(completion, RECHECK_DELAY_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(completion, COMPLETION_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
             channel.eventLoop().execute(completion);
         }
     }
 
-    private void processLastPart(IncomingRequest completed, ByteBuf lastPart, long arrivedNs) {
+    private void processLastPart(IncomingRequest completed, ByteBuf lastPart, long earliestArrivalNs) {
         try {
             if (incoming == completed && channel.isActive()) {
                 receiveBody(lastPart);
-                // Its last bytes may have made it invalid.
+                // The last part may have made the request invalid.
                 if (incoming == completed) {
-                    completeRequest(arrivedNs);
+                    completeRequest(earliestArrivalNs);
                 }
             } else if (!channel.isActive()) {
                 frontend.recordAbandoned();
@@ -166,14 +178,14 @@
         }
     }
 
-    private void completeRequest(long arrivedNs) {
+    private void completeRequest(long earliestArrivalNs) {
         IncomingRequest completed = incoming;
         incoming = null;
         connection.onRequestComplete();
         if (completed.exchange != null) {
             boolean dispatched = connection.hasRequestInFlight();
             connection.setRequestInFlight(completed.exchange);
-            completed.exchange.completeRequest(arrivedNs);
+            completed.exchange.completeRequest(earliestArrivalNs);
             if (!dispatched) {
                 frontend.dispatch(completed.exchange);
             }
--- a/node/src/main/java/tansypass/node/frontend/ResponseStream.java
+++ b/node/src/main/java/tansypass/node/frontend/ResponseStream.java
@@ -5,11 +5,11 @@
 import tansypass.node.http.ResponseBodySink;
 import tansypass.node.http.ResponseReader;
 
-/** A long response on its way to the client, and the rate at which it arrives. Used on the event loop only. */
+/** A streamed response on its way to the client, with a measurement of its rate. Used on the event loop only. */
 final class ResponseStream implements ResponseBodySink {
     private final Exchange exchange;
     private final ResponseWriter writer;
-    /** The announced length, or if none was the number of bytes so far. */
+    /** The declared length or, if that is exceeded or unknown, the number of bytes forwarded so far. */
     private long knownLengthBytes;
 
     private long forwardedBytes;
@@ -20,7 +20,7 @@
     /**
      * Creates a stream whose head is about to be written.
      *
-     * @param lengthBytes the announced length, or -1
+     * @param lengthBytes the declared length, or -1 if there is none
      */
     ResponseStream(Exchange exchange, ResponseWriter writer, long lengthBytes) {
         this.exchange = exchange;
@@ -53,12 +53,12 @@
         }
     }
 
-    /** Returns whether the response is known to be longer than one that is buffered. */
+    /** Returns whether the response is known to be too long to be buffered. */
     boolean isLong() {
         return knownLengthBytes > ResponseReader.MAX_BUFFERED_BYTES;
     }
 
-    /** Returns the nanoseconds since its last part. */
+    /** Returns the time since the last part. */
     long idleNs() {
         return System.nanoTime() - lastPartNs;
     }
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns whether it was below the lowest rate since the measurement started, though the client was ready for
-     * more, or is too long; and starts the next measurement.
+     * Returns whether the response has been below the lowest accepted rate since the measurement started although the
+     * client was ready for more, or is over the length limit. Starts the next measurement.
      */
     boolean isTooSlowOrTooLong() {
         long elapsedNs = System.nanoTime() - windowStartNs;
--- a/node/src/main/java/tansypass/node/frontend/ResponseWriter.java
+++ b/node/src/main/java/tansypass/node/frontend/ResponseWriter.java
@@ -15,41 +15,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes a connection's responses and closes the connection after the last one. It owns the timer of the
- * lingering close. Used on the event loop only.
+ * Writes a connection's responses, and closes the connection after the last one. It owns the timer of the lingering
+ * close. Used on the event loop only.
  */
 final class ResponseWriter {
-    /** How long a client that is still sending may take to read why its connection is closed. */
+    /**
+     * How long a connection whose client is still sending stays open after the last response. The client reads in
+     * this time why the connection is closed.
+     */
     private static final long LINGER_MS = 1_000;
-    /** How long any other client may take to read its last response: its next request may be under way. */
+    /**
+     * How long any other connection stays open after the last response. The client's next request may be on its way,
+     * and a reset would discard the response.
+     */
     private static final long IDLE_LINGER_MS = 200;
 
     private final ClientConnection connection;
     private final Channel channel;
     private int unwrittenResponses;
     private boolean closing;
-    /** Runs when the channel accepts more of the response being streamed; null if there is none. */
+    /** Runs when the channel accepts more of the streamed response; null if no response is being streamed. */
     private Runnable whenWritable;
 
     private boolean keepAliveAfterStream;
 
-    /** Creates a writer for an open connection. */
+    /** Creates the writer of an open connection. */
     ResponseWriter(ClientConnection connection, Channel channel) {
         this.connection = connection;
         this.channel = channel;
     }
 
-    /** Returns whether no further request is served on the connection. */
+    /** Returns whether the connection serves no further request. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Makes the response in flight the connection's last. */
+    /** Makes the response to the request in flight the connection's last one. */
     void closeAfterResponse() {
         closing = true;
     }
 
-    /** Returns whether a response has been sent and not been written completely. */
+    /** Returns whether a response has been sent that is not written completely. */
     boolean hasUnwrittenResponse() {
         return unwrittenResponses > 0;
     }
@@ -57,16 +63,19 @@
     /**
      * Sends a complete response and takes over its reference.
      *
-     * @param keepAlive whether the client can use the connection after it
-     * @return completes when it has been written
+     * @param keepAlive whether the client can send another request on the connection
+     * @return a future that completes when the response has been written
      */
     ChannelFuture sendResponse(FullHttpResponse response, boolean keepAlive) {
-        boolean keep = canKeepAlive(keepAlive);
+        boolean keepOpen = canKeepAlive(keepAlive);
         FullHttpResponse sent = connection.isHeadRequest() ? response.replace(Unpooled.EMPTY_BUFFER) : response;
-        return endResponse(channel.writeAndFlush(keep ? sent : withConnectionClose(sent)), keep);
+        return endResponse(channel.writeAndFlush(keepOpen ? sent : withConnectionClose(sent)), keepOpen);
     }
 
-    /** Sends a response in place of whatever the connection would have served, and closes it. */
+    /**
+     * Sends an error response as the connection's last response, and closes the connection. Its other requests are
+     * not served.
+     */
     void sendFinalResponse(FullHttpResponse response) {
         closing = true;
         unwrittenResponses++;
@@ -75,14 +84,17 @@
         closeAfter(writing, LINGER_MS);
     }
 
-    /** Writes the head of a streamed response; its parts follow, and {@link #finishResponse} or {@link #abort}. */
+    /**
+     * Writes the head of a streamed response. The caller then writes its parts, and ends it with
+     * {@link #finishResponse} or {@link #abort}.
+     */
     void startResponse(HttpResponse head, boolean keepAlive, Runnable onWritable) {
         keepAliveAfterStream = canKeepAlive(keepAlive);
         whenWritable = onWritable;
         channel.write(keepAliveAfterStream ? head : withConnectionClose(head));
     }
 
-    /** Returns whether a streamed response has started and not ended. */
+    /** Returns whether a streamed response has started and has not ended. */
     boolean isStreaming() {
         return whenWritable != null;
     }
@@ -97,32 +109,32 @@
         channel.flush();
     }
 
-    /** Returns whether the channel accepts more. */
+    /** Returns whether the channel accepts more data. */
     boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Notifies the streamed response's source if the channel accepts more. */
+    /** Notifies the source of the streamed response if the channel accepts more data. */
     void onWritabilityChanged() {
         if (whenWritable != null && channel.isWritable()) {
             whenWritable.run();
         }
     }
 
-    /** Ends the streamed response; the future completes when all of it has been written. */
+    /** Ends the streamed response. The returned future completes when all of it has been written. */
     ChannelFuture finishResponse() {
         whenWritable = null;
         return endResponse(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAliveAfterStream);
     }
 
-    /** Stops notifying the streamed response's source. */
+    /** Stops notifying the source of the streamed response. */
     void stopStreaming() {
         whenWritable = null;
     }
 
     /**
-     * Resets the connection in the middle of a response. A response without a length ends with the connection,
-     * so an ordinary close would look like its end.
+     * Resets the connection in the middle of a streamed response. The end of the connection is also the end of a
+     * response without a length, so that an ordinary close would make the response look complete.
      */
     void abort() {
         connection.clearRequestInFlight();
@@ -135,12 +147,12 @@
         return keepAlive && !closing && connection.canKeepAlive();
     }
 
-    private ChannelFuture endResponse(ChannelFuture writing, boolean keep) {
+    private ChannelFuture endResponse(ChannelFuture writing, boolean keepOpen) {
         boolean clientIsSending = closing || connection.hasUnprocessedInput();
         connection.onResponseSent();
         unwrittenResponses++;
         writing.addListener(written -> unwrittenResponses--);
-        if (!keep) {
+        if (!keepOpen) {
             closing = true;
             return closeAfter(writing, clientIsSending ? LINGER_MS : IDLE_LINGER_MS);
         }
@@ -149,8 +161,8 @@
     }
 
     /**
-     * Closes the connection some time after the write (lingering close). If it were closed at once with input
-     * unread or under way, the system would reset it and discard the response.
+     * Closes the connection some time after the write (lingering close). If the connection were closed at once while
+     * input is unread or on its way, the kernel would reset it and discard the response.
      */
     private ChannelFuture closeAfter(ChannelFuture writing, long lingerMs) {
         channel.config().setAutoRead(true);
