--- a/node/src/main/java/tansypass/node/Main.java
+++ b/node/src/main/java/tansypass/node/Main.java
@@ -13,15 +13,15 @@
 import tansypass.node.process.ProxyNode;
 import tansypass.platform.EnvironmentConfigSource;
 
-/** Entry points of a node: the platform's process, and the calls of the command line. */
+/** Entry points of a node: the process that the platform starts, and the methods that the command line calls. */
 public final class Main {
-    /** The argument of the build's training run; part of the deploy file. */
+    /** The argument that selects the build's training run. The deploy file contains it. */
     private static final String TRAINING_ARGUMENT = "rehearse";
 
     private Main() {}
 
     /**
-     * Serves until SIGTERM with the configuration that the environment gives. With the argument {@code rehearse} it
+     * Serves until SIGTERM with the configuration that the environment gives. With the argument {@code rehearse},
      * performs the training run of the build's class data sharing archive instead, and ends.
      */
     public static void main(String[] args) {
@@ -33,11 +33,12 @@
     }
 
     /**
-     * Serves until SIGTERM with a configuration from elsewhere. Returns before the node listens; ends the process with
-     * one line on standard error if it can't start.
+     * Serves until SIGTERM with a configuration from another source. Returns before the node listens. If the node
+     * can't start, the process ends with one line on standard error.
      *
      * @param source loads the configuration at the start, and again at each SIGHUP
-     * @param metricsFormatter makes the admin page {@code /metrics} from the text of {@code /_vars}
+     * @param metricsFormatter creates the admin page {@code /metrics} from the text of {@code /_vars}; null for no
+     *     such page
      * @param cluster the cluster that the node is a member of, or null for none
      */
     public static void serve(ConfigSource source, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
@@ -47,7 +48,7 @@
     /**
      * Checks that a node can be created with a configuration. Starts nothing.
      *
-     * @throws IllegalArgumentException if it can't
+     * @throws IllegalArgumentException if the node can't be created
      */
     public static void check(NodeConfig config) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
--- a/node/src/main/java/tansypass/node/lifecycle/DelayRoundingIoHandler.java
+++ b/node/src/main/java/tansypass/node/lifecycle/DelayRoundingIoHandler.java
@@ -7,18 +7,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Rounds the time until an event loop's next timer up to whole milliseconds. A selector waits in whole milliseconds,
- * and Netty rounds to the nearest: with less than half a millisecond left, the loop would spin until the timer is due.
+ * Rounds the time until an event loop's next timer up to whole milliseconds. A selector waits for whole milliseconds,
+ * and Netty rounds to the nearest. With less than half a millisecond left, the loop would spin until the timer is
+ * due.
  */
 public final class DelayRoundingIoHandler extends ForwardingIoHandler {
-    private static final long MILLISECOND_NS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    /** Wraps a handler, which does the waiting. */
+    /** Wraps the handler that does the polling. */
     public DelayRoundingIoHandler(IoHandler delegate) {
         super(delegate);
     }
 
-    /** Returns a factory for handlers based on a selector, whose polls are timed for {@link ArrivalEstimator}. */
+    /** Returns a factory of selector-based handlers, whose polls are timed for {@link ArrivalEstimator}. */
     public static IoHandlerFactory newFactory() {
         return wrap(PollTimingIoHandler.wrap(NioIoHandler.newFactory()));
     }
@@ -28,23 +29,23 @@
     }
 
     @Override
-    public int run(IoHandlerContext loop) {
-        return super.run(new RoundingContext(loop));
+    public int run(IoHandlerContext context) {
+        return super.run(new RoundingContext(context));
     }
 
     /** Rounds the delay of the next timer up. */
     private static final class RoundingContext extends ForwardingContext {
-        RoundingContext(IoHandlerContext loop) {
-            super(loop);
+        RoundingContext(IoHandlerContext context) {
+            super(context);
         }
 
         @Override
         public long delayNanos(long nowNs) {
             long delayNs = super.delayNanos(nowNs);
-            long remainder = delayNs % MILLISECOND_NS;
-            return delayNs <= 0 || remainder == 0 || delayNs > Long.MAX_VALUE - MILLISECOND_NS
+            long remainderNs = delayNs % NS_PER_MS;
+            return delayNs <= 0 || remainderNs == 0 || delayNs > Long.MAX_VALUE - NS_PER_MS
                     ? delayNs
-                    : delayNs + MILLISECOND_NS - remainder;
+                    : delayNs + NS_PER_MS - remainderNs;
         }
     }
 }
--- a/node/src/main/java/tansypass/node/lifecycle/DescriptorLimiter.java
+++ b/node/src/main/java/tansypass/node/lifecycle/DescriptorLimiter.java
@@ -3,69 +3,72 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts client and server sockets against the process's limit of file descriptors, and closes idle ones before the
- * system would run out. Used on the node's event loop only.
+ * Counts client and server sockets against the process's limit of file descriptors, and closes idle connections
+ * before the descriptors run out. Used on the node's event loop only.
  */
 public final class DescriptorLimiter {
     /**
-     * Descriptors not available to sockets: for the runtime's files and selector, the listening socket, discovery, and
-     * sockets whose close has not taken effect yet.
+     * Descriptors that are not available to client and server connections: those of the runtime's files, the
+     * selector, the listening socket and discovery, and those of sockets whose close has not taken effect yet.
      */
     public static final int RESERVED_DESCRIPTORS = 64;
-    /** Fewest descriptors with which a process can serve: one connection of each side besides the reserve. */
+    /**
+     * The fewest descriptors with which a process can serve: one for a client, one for a server, and the reserved
+     * ones.
+     */
     public static final int MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 2;
-    /** Clients may use the limit divided by this; the platform's requirement. */
+    /** Clients may use the limit divided by this number, as the platform requires. */
     private static final int CLIENT_DIVISOR = 3;
 
     private final int maxSockets;
     private final int maxClients;
-    private BooleanSupplier closeIdleClient = () -> false;
-    private BooleanSupplier closeIdleServer = () -> false;
-    private Runnable onCapacityAvailable = () -> {};
-    private int clients;
-    private int servers;
+    private BooleanSupplier idleClientCloser = () -> false;
+    private BooleanSupplier idleServerCloser = () -> false;
+    private Runnable capacityCallback = () -> {};
+    private int clientCount;
+    private int serverCount;
 
-    /** Creates a limiter for a process with so many file descriptors. */
-    public DescriptorLimiter(int limit) {
-        maxSockets = Math.max(2, limit - RESERVED_DESCRIPTORS);
-        // Under a small limit the reserve is a larger part of it, and servers still need a connection or two.
-        maxClients = Math.max(1, Math.min(limit / CLIENT_DIVISOR, maxSockets * 3 / 4));
+    /** Creates a limiter for a process with the given limit of file descriptors. */
+    public DescriptorLimiter(int descriptorLimit) {
+        maxSockets = Math.max(2, descriptorLimit - RESERVED_DESCRIPTORS);
+        // With a small limit, the reserved descriptors are a larger part, and servers still need a connection or two.
+        maxClients = Math.max(1, Math.min(descriptorLimit / CLIENT_DIVISOR, maxSockets * 3 / 4));
     }
 
     /**
-     * Sets what the frontend does.
+     * Sets the callbacks to the frontend.
      *
      * @param closeIdle closes one idle client connection and returns whether there was one
      * @param whenCapacityAvailable runs after each closed socket
      */
     public void setClientCallbacks(BooleanSupplier closeIdle, Runnable whenCapacityAvailable) {
-        closeIdleClient = closeIdle;
-        onCapacityAvailable = whenCapacityAvailable;
+        idleClientCloser = closeIdle;
+        capacityCallback = whenCapacityAvailable;
     }
 
-    /** Sets what closes one idle connection to a server and returns whether there was one. */
+    /** Sets the callback that closes one idle connection to a server and returns whether there was one. */
     public void setServerCallback(BooleanSupplier closeIdle) {
-        closeIdleServer = closeIdle;
+        idleServerCloser = closeIdle;
     }
 
     /** Returns whether another client connection may be accepted. */
     public boolean hasClientCapacity() {
-        return clients < maxClients && clients + servers < maxSockets;
+        return clientCount < maxClients && clientCount + serverCount < maxSockets;
     }
 
-    /** Counts an accepted connection. */
+    /** Counts an accepted client connection. */
     public void addClient() {
-        clients++;
+        clientCount++;
     }
 
-    /** Closes idle connections until another client may be accepted; returns whether one may be now. */
+    /** Closes idle connections until another client may be accepted. Returns whether one may be accepted now. */
     public boolean reclaimClientCapacity() {
-        // At the limit for clients, closing a server connection does not help.
+        // At the limit for clients, closing a connection to a server does not help.
         boolean closed = true;
-        while (clients >= maxClients && closed) {
-            closed = closeIdleClient.getAsBoolean();
+        while (clientCount >= maxClients && closed) {
+            closed = idleClientCloser.getAsBoolean();
         }
-        if (clients < maxClients && !hasClientCapacity()) {
+        if (clientCount < maxClients && !hasClientCapacity()) {
             closeIdle();
         }
         return hasClientCapacity();
@@ -73,30 +76,30 @@
 
     /** Subtracts a closed client connection. */
     public void removeClient() {
-        clients--;
-        onCapacityAvailable.run();
+        clientCount--;
+        capacityCallback.run();
     }
 
-    /** Counts a connection to a server; returns false, without counting it, if there is no capacity for it. */
+    /** Counts a connection to a server. Returns false without counting it if there is no capacity for it. */
     public boolean addServer() {
-        if (clients + servers >= maxSockets && !closeIdle()) {
+        if (clientCount + serverCount >= maxSockets && !closeIdle()) {
             return false;
         }
-        servers++;
+        serverCount++;
         return true;
     }
 
     /** Subtracts a closed connection to a server. */
     public void removeServer() {
-        servers--;
-        onCapacityAvailable.run();
+        serverCount--;
+        capacityCallback.run();
     }
 
     /**
-     * Closes one idle connection and returns whether there was one. Server connections come first: a request may
-     * already be on its way on a client connection that is being closed.
+     * Closes one idle connection and returns whether there was one. Connections to servers come first, because a
+     * request may already be on its way on a client connection that is being closed.
      */
     public boolean closeIdle() {
-        return closeIdleServer.getAsBoolean() || closeIdleClient.getAsBoolean();
+        return idleServerCloser.getAsBoolean() || idleClientCloser.getAsBoolean();
     }
 }
--- a/node/src/main/java/tansypass/node/lifecycle/ForwardingIoHandler.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ForwardingIoHandler.java
@@ -6,20 +6,20 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * A decorator of Netty's {@link IoHandler} that forwards all calls to another one, for subclasses that change some of
- * them. Used on the event loop's thread, but for {@link #wakeup}.
+ * A decorator that forwards all calls to another {@link IoHandler}. Subclasses override some of them. Used on the
+ * event loop's thread, except for {@link #wakeup}.
  */
 abstract class ForwardingIoHandler implements IoHandler {
     private final IoHandler delegate;
 
-    /** Wraps a handler, which does the polling. */
+    /** Wraps the handler that does the polling. */
     ForwardingIoHandler(IoHandler delegate) {
         this.delegate = delegate;
     }
 
     @Override
-    public int run(IoHandlerContext loop) {
-        return delegate.run(loop);
+    public int run(IoHandlerContext context) {
+        return delegate.run(context);
     }
 
     @Override
@@ -52,38 +52,38 @@
         return delegate.isCompatible(type);
     }
 
-    /** The context of one run that forwards all calls to the event loop's own. */
+    /** A decorator that forwards all calls to the context of the event loop. */
     abstract static class ForwardingContext implements IoHandlerContext {
-        private final IoHandlerContext loop;
+        private final IoHandlerContext context;
 
         /** Wraps the context of the event loop. */
-        ForwardingContext(IoHandlerContext loop) {
-            this.loop = loop;
+        ForwardingContext(IoHandlerContext context) {
+            this.context = context;
         }
 
         @Override
         public boolean canBlock() {
-            return loop.canBlock();
+            return context.canBlock();
         }
 
         @Override
         public long delayNanos(long nowNs) {
-            return loop.delayNanos(nowNs);
+            return context.delayNanos(nowNs);
         }
 
         @Override
         public long deadlineNanos() {
-            return loop.deadlineNanos();
+            return context.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long ns) {
-            loop.reportActiveIoTime(ns);
+            context.reportActiveIoTime(ns);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return loop.shouldReportActiveIoTime();
+            return context.shouldReportActiveIoTime();
         }
     }
 }
--- a/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
+++ b/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
@@ -3,13 +3,14 @@
 import java.util.function.Consumer;
 
 /**
- * Whether this process serves clients: the one state behind {@code /ready}, the admin calls and SIGTERM. Thread-safe;
- * the frontend follows it on its own event loop.
+ * The serving state of this process, which {@code /ready} reports and the admin calls and SIGTERM change.
+ * Thread-safe. The frontend reads the state on its own event loop.
  */
 public final class Lifecycle {
 
     /**
-     * In order; the names are part of the admin interface. A draining (lame duck) node may resume, a stopping one not.
+     * The states, in order. Their names are part of the admin interface. A draining (lame duck) node can resume, and
+     * a stopping one can't.
      */
     public enum State {
         STARTING,
@@ -18,7 +19,9 @@
         STOPPING
     }
 
+    /** Whether the start is complete. */
     private boolean started;
+
     private volatile State state = State.STARTING;
     private Consumer<State> observer = changed -> {};
 
@@ -33,7 +36,8 @@
     }
 
     /**
-     * Sets the one observer of changes. It runs on the thread that makes a change, and at once with the present state.
+     * Sets the one observer of changes, and calls it at once with the present state. It runs on the thread that makes
+     * a change.
      */
     public synchronized void setObserver(Consumer<State> newObserver) {
         observer = newObserver;
@@ -47,7 +51,7 @@
         }
     }
 
-    /** Marks the start as complete. Draining that was requested before that stays in effect. */
+    /** Marks the start as complete. If draining was requested before, it stays in effect. */
     public synchronized void markStarted() {
         started = true;
         if (state == State.STARTING) {
@@ -55,7 +59,9 @@
         }
     }
 
-    /** Starts draining: each response closes its connection, and the process continues. No effect while stopping. */
+    /**
+     * Starts draining: each response closes its connection, and the process continues. Has no effect while stopping.
+     */
     public synchronized void startDraining() {
         if (state != State.STOPPING) {
             transitionTo(State.LAME_DUCK);
@@ -74,7 +80,7 @@
         return state != State.STOPPING;
     }
 
-    /** Starts the graceful shutdown, which can not be undone. */
+    /** Starts the graceful shutdown, which can't be undone. */
     public synchronized void stop() {
         transitionTo(State.STOPPING);
     }
--- a/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
+++ b/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
@@ -8,22 +8,22 @@
 final class PollTimingIoHandler extends ForwardingIoHandler {
     private final ArrivalEstimator estimator;
 
-    /** Wraps a handler, which does the polling. */
+    /** Wraps the handler that does the polling. */
     PollTimingIoHandler(IoHandler delegate, ArrivalEstimator estimator) {
         super(delegate);
         this.estimator = estimator;
     }
 
-    /** Wraps a factory's handlers. */
+    /** Returns a factory that wraps the handlers of another factory. */
     static IoHandlerFactory wrap(IoHandlerFactory delegate) {
         return executor ->
                 new PollTimingIoHandler(delegate.newHandler(executor), new ArrivalEstimator(System::nanoTime));
     }
 
     @Override
-    public int run(IoHandlerContext loop) {
+    public int run(IoHandlerContext context) {
         estimator.onPollStart();
-        return super.run(new TimingContext(loop, estimator));
+        return super.run(new TimingContext(context, estimator));
     }
 
     @Override
@@ -32,12 +32,15 @@
         super.initialize();
     }
 
-    /** Reports what the handler requests from the loop: the timeout of its poll, then what to do after the poll. */
+    /**
+     * Reports the calls that the handler makes to its context: it asks for its poll's timeout first, and later tells
+     * that the poll has ended.
+     */
     private static final class TimingContext extends ForwardingContext {
         private final ArrivalEstimator estimator;
 
-        TimingContext(IoHandlerContext loop, ArrivalEstimator estimator) {
-            super(loop);
+        TimingContext(IoHandlerContext context, ArrivalEstimator estimator) {
+            super(context);
             this.estimator = estimator;
         }
 
@@ -48,7 +51,10 @@
             return delayNs;
         }
 
-        /** NioIoHandler calls this once in each run, between its poll and the processing of what that found. */
+        /**
+         * Reports the end of the poll. NioIoHandler calls this once in each run, after its poll and before it
+         * processes the input.
+         */
         @Override
         public boolean shouldReportActiveIoTime() {
             estimator.onPollEnd();
--- a/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
@@ -14,32 +14,35 @@
  * distributes new connections among them.
  */
 public final class ReusePortServerChannel extends NioServerSocketChannel {
-    /** Of an accepted connection: how long it may have waited in the kernel's accept queue. */
+    /** The attribute of an accepted connection that has its wait in the kernel's accept queue. */
     public static final AttributeKey<AcceptQueueWait> ACCEPT_QUEUE_WAIT = AttributeKey.valueOf("acceptQueueWait");
 
-    private static final long POLL_INTERVAL_MS = 1;
+    private static final long DEREGISTRATION_POLL_INTERVAL_MS = 1;
 
-    /** Whether connections may be waiting in the accept queue. */
-    private boolean queueing;
+    /** Whether connections may be waiting in the accept queue because of a pause. */
+    private boolean mayHaveQueued;
 
-    /** Since when they may be waiting there, by {@link System#nanoTime}. */
-    private long queueingSince;
+    /** The start of the pause since which they may be waiting, by {@link System#nanoTime}. */
+    private long queuedSinceNs;
 
     /**
-     * A connection's wait to be accepted, in times of {@link System#nanoTime}.
+     * The wait of a connection until it was accepted, in times of {@link System#nanoTime}.
      *
-     * @param earliestNs when it may have been established at the earliest
-     * @param acceptedNs when it was accepted
+     * @param earliestNs the earliest time at which the connection may have been established
+     * @param acceptedNs the time at which the connection was accepted
      */
     public record AcceptQueueWait(long earliestNs, long acceptedNs) {
-        /** First bytes that arrive so soon after their connection was accepted come along with it. */
+        /**
+         * First bytes that arrive within this time after their connection was accepted were sent together with it.
+         */
         static final long FIRST_BYTES_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(50);
 
         /**
-         * Returns from when the connection's first bytes count, which are delayed by as long as the connection waited
-         * if they come along with it: the client's time may count from when it began to connect.
+         * Returns the time at which the connection's first bytes count as arrived. If they were sent together with
+         * the connection, they count as arrived earlier by its wait, because the client's time may count from when it
+         * began to connect.
          *
-         * @param bytesNs when the bytes may have arrived at the earliest
+         * @param bytesNs the earliest time at which the bytes may have arrived
          */
         public long firstBytesNs(long bytesNs) {
             long sinceAcceptedNs = bytesNs - acceptedNs;
@@ -52,16 +55,19 @@
         config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
 
-    /** Stops accepting: new connections wait in the kernel's accept queue. */
+    /** Pauses accepting. New connections wait in the kernel's accept queue. */
     public void pause() {
-        if (!queueing) {
-            queueing = true;
-            queueingSince = System.nanoTime();
+        if (!mayHaveQueued) {
+            mayHaveQueued = true;
+            queuedSinceNs = System.nanoTime();
         }
         config().setAutoRead(false);
     }
 
-    /** Accepts again, at once what is queued: connections that arrive later did not wait. */
+    /**
+     * Resumes accepting. The queued connections are accepted at once, because connections that arrive later did not
+     * wait for the end of the pause.
+     */
     public void resume() {
         config().setAutoRead(true);
         eventLoop().execute(() -> {
@@ -77,29 +83,31 @@
     }
 
     /**
-     * The kernel does not report when a connection was established: after a pause each may be as old as that until
-     * the queue has been found empty, and any may have arrived during the last turn of the event loop.
+     * Accepts connections and records the wait of each. The kernel does not report when a connection was established.
+     * After a pause, each connection may be as old as the pause, until the queue has been found empty. Otherwise it
+     * may have arrived at any time during the last iteration of the event loop.
      */
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        int before = accepted.size();
+        int countBefore = accepted.size();
         int count = super.doReadMessages(accepted);
         if (count == 0) {
-            queueing = false;
+            mayHaveQueued = false;
             return count;
         }
-        AcceptQueueWait wait =
-                new AcceptQueueWait(queueing ? queueingSince : ArrivalEstimator.earliestArrivalNs(), System.nanoTime());
-        for (Object channel : accepted.subList(before, accepted.size())) {
+        AcceptQueueWait wait = new AcceptQueueWait(
+                mayHaveQueued ? queuedSinceNs : ArrivalEstimator.earliestArrivalNs(), System.nanoTime());
+        for (Object channel : accepted.subList(countBefore, accepted.size())) {
             ((Channel) channel).attr(ACCEPT_QUEUE_WAIT).set(wait);
         }
         return count;
     }
 
     /**
-     * Accepts all pending connections, closes, and runs {@code whenClosed}. Connections that are pending when a
-     * listening socket closes are reset, so nothing may come between the last accept and the close. Java closes a
-     * socket that is registered with a selector only when the selector next wakes up: it is deregistered first.
+     * Accepts all pending connections, closes the socket and runs {@code whenClosed}. Connections that are pending
+     * when a listening socket closes are reset, so nothing may happen between the last accept and the close. Java
+     * closes a socket that is registered with a selector only when the selector next wakes up; the socket is
+     * therefore deregistered first.
      */
     public void closeAfterAccepting(Runnable whenClosed) {
         deregister().addListener(done -> acceptAllOnceDeregistered(whenClosed));
@@ -107,17 +115,21 @@
 
     private void acceptAllOnceDeregistered(Runnable whenClosed) {
         if (javaChannel().isOpen() && javaChannel().isRegistered()) {
-            eventLoop().schedule(() -> acceptAllOnceDeregistered(whenClosed), POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            eventLoop()
+                    .schedule(
+                            () -> acceptAllOnceDeregistered(whenClosed),
+                            DEREGISTRATION_POLL_INTERVAL_MS,
+                            TimeUnit.MILLISECONDS);
             return;
         }
         List<Object> accepted = new ArrayList<>();
         try {
             while (doReadMessages(accepted) > 0) {
-                // Until nothing is left.
+                // Repeated until no connection is pending.
             }
             javaChannel().close();
         } catch (Exception e) {
-            // For example out of descriptors. What has been accepted is served all the same.
+            // For example, no descriptor is left. The connections accepted so far are still served.
             pipeline().fireExceptionCaught(e);
         }
         accepted.forEach(pipeline()::fireChannelRead);
--- a/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
+++ b/node/src/main/java/tansypass/node/process/ClassArchiveTraining.java
@@ -12,12 +12,12 @@
 
 /**
  * The training run of the build: a node starts, warms up, listens on a free port and ends. The classes that it loads
- * go into the class data sharing archive, from which the real process starts faster.
+ * are stored in the class data sharing archive, from which the real process starts faster.
  */
 public final class ClassArchiveTraining {
     private ClassArchiveTraining() {}
 
-    /** Starts the run; its event loop's thread is what keeps the process alive until the end. */
+    /** Starts the run. The thread of its event loop keeps the process alive until the run ends. */
     public static void run() {
         loadStartClasses();
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
@@ -26,7 +26,7 @@
         loop.execute(() -> node.start(group, WarmUp.REQUESTS).addListener(started -> group.shutdownGracefully()));
     }
 
-    /** Loads what only the start of a process uses, which this run does not go through. */
+    /** Loads the classes that only the start of a node process uses, which is not part of this run. */
     private static void loadStartClasses() {
         List<Class<?>> startClasses = List.of(
                 NodeProcess.class,
@@ -38,7 +38,7 @@
             try {
                 Class.forName(startClass.getName());
             } catch (ClassNotFoundException e) {
-                throw new IllegalStateException("class of the start not found: " + startClass, e);
+                throw new IllegalStateException("class used at the start not found: " + startClass, e);
             }
         }
     }
--- a/node/src/main/java/tansypass/node/process/ClusterView.java
+++ b/node/src/main/java/tansypass/node/process/ClusterView.java
@@ -12,7 +12,7 @@
         void onClusterSize(int present, int lost);
     }
 
-    /** Sets the listener that is called at each change from now on. */
+    /** Sets the listener that is called at each change of the cluster's size from now on. */
     void setSizeListener(SizeListener listener);
 
     /** Publishes to the cluster whether this node serves clients. */
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -22,17 +22,20 @@
 import tansypass.node.warmup.WarmUp;
 
 /**
- * A node as a process of its own: the order of its start, SIGHUP and SIGTERM, and the exits on failure. The start runs
- * on the main thread, signals on threads of the Java runtime; the node itself runs on its event loop.
+ * A node as a process of its own: the order of its start, the handling of SIGHUP and SIGTERM, and the exits on
+ * failure. The start runs on the main thread, signal handlers run on threads of the Java runtime, and the node runs
+ * on its event loop.
  */
 public final class NodeProcess {
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_INVALID_CONFIG = 2;
 
-    /** Time for responses that have started, beyond the node's own timeout, unless SIGKILL comes first. */
+    /**
+     * The time after the node's own shutdown timeout in which started responses may end, unless SIGKILL comes first.
+     */
     private static final long STOP_GRACE_MS = 5_000;
-    /** An operator's client has timed out by then. */
+    /** The timeout of an admin call. An operator's client has timed out by then. */
     private static final long ADMIN_CALL_TIMEOUT_MS = 3_000;
 
     private final ConfigSource source;
@@ -41,7 +44,10 @@
     private final EventLoop loop;
     private final ProxyNode node;
 
-    /** Creates the node; throws InvalidNodeConfigException if the configuration is missing or invalid. */
+    /**
+     * Loads the configuration and creates the node. Throws InvalidNodeConfigException if the configuration is missing
+     * or invalid.
+     */
     private NodeProcess(ConfigSource source) throws InvalidNodeConfigException {
         this.source = source;
         group = new MultiThreadIoEventLoopGroup(1, DelayRoundingIoHandler.newFactory());
@@ -51,11 +57,11 @@
     }
 
     /**
-     * Starts a node that serves until SIGTERM. Ends the process with one line on standard error if it can't start.
-     * Returns before the node listens.
+     * Starts a node that serves until SIGTERM. If the node can't start, the process ends with one line on standard
+     * error. Returns before the node listens.
      *
      * @param metricsFormatter see {@link AdminServer}; null for no metrics page
-     * @param cluster null if the node is not a member of a cluster
+     * @param cluster the cluster that the node is a member of, or null
      */
     public static void run(ConfigSource source, UnaryOperator<String> metricsFormatter, ClusterView cluster) {
         int openFiles = OpenFileLimit.read();
@@ -78,9 +84,8 @@
 
     private void start(UnaryOperator<String> metricsFormatter, ClusterView cluster) {
         loadLogClasses();
-        // The process stops by its shutdown hook only: a loop that ends earlier does so by a fault, and a process
-        // without
-        // its loop can't serve clients.
+        // A process whose event loop has ended can't serve clients. The loop ends only by a fault: when the process
+        // stops regularly, its shutdown hook halts it.
         group.terminationFuture().addListener(ended -> exit("the event loop has ended by a fault", EXIT_FAILURE));
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         if (cluster != null) {
@@ -96,9 +101,9 @@
     }
 
     /**
-     * Formats a record that is not printed, so that all files that a log line needs have been read, above all that of
-     * the time zones. Once descriptors have run out they can't be opened, and the error from the logger would end the
-     * event loop that only wanted to log. The first line costs this time anyway.
+     * Formats a log record that is not printed, so that all files needed for a log line have been read, above all the
+     * one with the time zones. Once descriptors have run out these files can't be opened, and the error thrown by the
+     * logger would end the event loop that was writing a log line. The first log line takes this time in any case.
      */
     private static void loadLogClasses() {
         LogRecord record = new LogRecord(Level.INFO, "");
@@ -116,7 +121,10 @@
                 .addListener(listening -> exitIfNotListening(listening, "for operators"));
     }
 
-    /** Ends the process, which is of no use without one of its addresses; not if it was stopped before it listened. */
+    /**
+     * Ends the process if it can't listen, because it is of no use without one of its addresses. Has no effect if the
+     * node was stopped before it listened.
+     */
     private static void exitIfNotListening(Future<?> listening, String purpose) {
         if (listening.cause() != null && !listening.isCancelled()) {
             exit("can't listen " + purpose + ": " + listening.cause().getMessage(), EXIT_FAILURE);
@@ -127,12 +135,12 @@
         try {
             HangupSignal.setHandler(this::reload);
         } catch (SignalUnavailableException e) {
-            // The node can serve, but a reload then ends it: operators have to know.
+            // The node can serve, but SIGHUP ends it, which operators have to know.
             StandardErrorPrinter.print(e.getMessage());
         }
     }
 
-    /** Reloads the configuration. An invalid one changes nothing. */
+    /** Reloads the configuration. If the new one is invalid, the old one stays in effect. */
     private void reload() {
         try {
             NodeConfig changed = source.reload();
@@ -142,7 +150,7 @@
         }
     }
 
-    /** Stops gracefully; runs as the shutdown hook on SIGTERM. Halting in it is what makes the exit code 0. */
+    /** Stops gracefully. Runs as the shutdown hook on SIGTERM, and halts the process to make the exit code 0. */
     private void stop() {
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
@@ -154,7 +162,10 @@
         Runtime.getRuntime().halt(EXIT_OK);
     }
 
-    /** Ends the process at once: there is no request to respond to, and the shutdown hook would wait for the loop. */
+    /**
+     * Ends the process at once, without the shutdown hook: there is no request to respond to, and the hook would wait
+     * for the event loop.
+     */
     private static void exit(String reason, int code) {
         StandardErrorPrinter.print(reason);
         Runtime.getRuntime().halt(code);
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -31,23 +31,27 @@
 import tansypass.node.warmup.WarmUpSender;
 
 /**
- * A node: creates its parts, starts them and stops them. Methods are to be called on its event loop unless
- * they say otherwise.
+ * A node: creates its parts, starts them and stops them. Methods must be called on its event loop unless their
+ * comments say otherwise.
  */
 public final class ProxyNode implements WarmUpSender {
     private static final Logger LOG = System.getLogger(ProxyNode.class.getName());
 
-    /** Clients connect for up to 0.4 s after SIGTERM, and their requests follow at once. */
+    /**
+     * How long a stopping node accepts connections. Clients connect for up to 0.4 s after SIGTERM, and their requests
+     * follow at once.
+     */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
 
     private static final long DRAIN_CHECK_INTERVAL_MS = 5;
-    /** SIGKILL follows SIGTERM after the longest deadline, or this if that is less, and a grace period. */
+    /** SIGKILL follows SIGTERM after the longest deadline or this time, whichever is less, and a grace period. */
     private static final long MAX_DEADLINE_BEFORE_KILL_MS = 3_000;
 
+    /** The grace period before SIGKILL. */
     private static final long KILL_GRACE_MS = 700;
-    /** Time kept for writing the last responses. */
+    /** The time reserved before SIGKILL for writing the last responses. */
     private static final long STOP_MARGIN_MS = 50;
-    /** A partly warmed-up node can serve; a slow machine does not complete the warm-up in time. */
+    /** The time limit of the warm-up, which a slow machine may exceed. A partly warmed-up node can serve. */
     private static final long WARM_UP_TIMEOUT_MS = 2_500;
 
     private static final long US_PER_MS = 1_000;
@@ -62,15 +66,15 @@
     private final RequestDispatcher dispatcher;
     private final HttpFrontend frontend;
 
-    /** Creates a node that is not started; may be called from any thread. */
+    /** Creates a node that is not started. May be called from any thread. */
     public ProxyNode(NodeConfig config, EventLoop loop) {
         this(config, loop, UpstreamConnectionPool.QUARANTINE_MS);
     }
 
     /**
-     * Creates a node as above.
+     * Creates a node that is not started.
      *
-     * @param quarantineMs milliseconds from a response until its upstream connection is used again
+     * @param quarantineMs milliseconds from a response until its upstream connection may be used again
      */
     private ProxyNode(NodeConfig config, EventLoop loop, long quarantineMs) {
         this.config = config;
@@ -90,32 +94,34 @@
     }
 
     /**
-     * Creates the node that sends the requests of another node's warm-up; may be called from any thread.
+     * Creates the node that sends the requests of another node's warm-up. May be called from any thread.
      *
-     * @param targetConfig of the node to warm up
-     * @param target the address that it listens on for the warm-up
+     * @param targetConfig the configuration of the node to warm up
+     * @param target the address on which that node listens for the warm-up
      */
     public static WarmUpSender newWarmUpSender(NodeConfig targetConfig, InetSocketAddress target, EventLoop loop) {
         return new ProxyNode(WarmUp.createSenderConfig(targetConfig, target), loop, WarmUp.SENDER_QUARANTINE_MS);
     }
 
     /**
-     * Applies the configuration's endpoint list, warms up, and then listens on the clients' address.
+     * Applies the endpoint list of the configuration, warms up, and then listens on the clients' address.
      *
-     * @param warmUpRequests number of requests of the warm-up
-     * @return the listening channel, or why it can't listen; cancelled if the node was stopped before that
+     * @param warmUpRequests the number of requests of the warm-up
+     * @return a promise of the listening channel, which fails if the node can't listen and is cancelled if it was
+     *     stopped before
      */
     public Promise<Channel> start(EventLoopGroup group, int warmUpRequests) {
         Promise<Channel> ready = loop.newPromise();
         endpoints.start();
-        // The clients' address may still be in use by another process, which would get some of the warm-up's requests.
+        // The warm-up has a port of its own: another process may still listen on the clients' address, and would get
+        // some of the warm-up's requests.
         ChannelFuture binding = frontend.listenForWarmUp(
                 group, new InetSocketAddress(config.listen().getAddress(), 0));
-        binding.addListener(done -> {
-            if (done.isSuccess()) {
+        binding.addListener(bound -> {
+            if (bound.isSuccess()) {
                 warmUp(binding.channel(), warmUpRequests, () -> listen(group, ready));
             } else {
-                ready.setFailure(done.cause());
+                ready.setFailure(bound.cause());
             }
         });
         return ready;
@@ -141,7 +147,7 @@
 
     private void listen(EventLoopGroup group, Promise<Channel> ready) {
         if (lifecycle.state() == Lifecycle.State.STOPPING) {
-            // Stopped during the warm-up: it has never listened for clients.
+            // The node was stopped during the warm-up, and never listens for clients.
             ready.cancel(false);
             return;
         }
@@ -151,22 +157,22 @@
                 LogEvent.WARM_UP_COMPLETE.line(
                         config.initialEndpoints().endpoints().size()));
         ChannelFuture binding = frontend.listen(group, config.listen());
-        binding.addListener(done -> {
-            if (done.isSuccess()) {
+        binding.addListener(bound -> {
+            if (bound.isSuccess()) {
                 lifecycle.markStarted();
                 ready.setSuccess(binding.channel());
             } else {
-                ready.setFailure(done.cause());
+                ready.setFailure(bound.cause());
             }
         });
     }
 
-    /** Returns the node's counters; may be called and read from any thread. */
+    /** Returns the node's counters. May be called and read from any thread. */
     public NodeMetrics metrics() {
         return metrics;
     }
 
-    /** Returns whether the node serves clients; may be called and changed from any thread. */
+    /** Returns the node's serving state. May be called and changed from any thread. */
     public Lifecycle lifecycle() {
         return lifecycle;
     }
@@ -181,7 +187,7 @@
         frontend.addClientHandlers(pipeline);
     }
 
-    /** Ends all requests and releases timers and connections; for a node that has not served clients. */
+    /** Ends all requests and releases timers and connections. Only for a node that has not served clients. */
     @Override
     public void close() {
         balancer.close();
@@ -191,32 +197,38 @@
         pool.close();
     }
 
-    /** Applies the discovery agent's address, the only setting that may change without a restart. */
+    /** Applies the discovery agent's address, which is the only setting that may change without a restart. */
     public void reload(NodeConfig changed) {
         LOG.log(Level.INFO, LogEvent.CONFIGURATION_RELOADED.line(changed.discovery()));
         endpoints.setDiscoveryAddress(changed.discovery());
     }
 
-    /** Reports a change of the cluster's size, see {@link LoadBalancer#onClusterSize}; from any thread. */
+    /**
+     * Reports a change of the cluster's size to the load balancer, see {@link LoadBalancer#onClusterSize}. May be
+     * called from any thread.
+     */
     public void onClusterSize(int present, int lost) {
         balancer.executeOnLoop(b -> b.onClusterSize(balancer.nowUs(), present, lost));
     }
 
     /**
-     * Shuts down gracefully: stops accepting requests after a grace period and runs {@code done} when all have their
-     * responses. A request without a response after {@link #stopTimeoutMs} gets an error, before the process may be
-     * killed.
+     * Shuts down gracefully: stops accepting connections after a grace period, and runs {@code whenStopped} when all
+     * requests have their responses. A request without a response after {@link #stopTimeoutMs} gets an error, before
+     * the process may be killed.
      */
-    public void stop(Runnable done) {
+    public void stop(Runnable whenStopped) {
         lifecycle.stop();
         loop.schedule(
-                () -> frontend.stopAccepting(() -> runWhenDrained(done)),
+                () -> frontend.stopAccepting(() -> runWhenDrained(whenStopped)),
                 ACCEPT_WHILE_STOPPING_MS,
                 TimeUnit.MILLISECONDS);
         loop.schedule(dispatcher::failUnanswered, stopTimeoutMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Returns the milliseconds from SIGTERM to SIGKILL, less a margin for the last responses; from any thread. */
+    /**
+     * Returns the milliseconds from SIGTERM to SIGKILL, less a margin for the last responses. May be called from any
+     * thread.
+     */
     public long stopTimeoutMs() {
         long longestDeadlineUs = config.settings().classes().stream()
                 .mapToLong(RequestClass::deadlineUs)
@@ -225,11 +237,11 @@
         return Math.min(MAX_DEADLINE_BEFORE_KILL_MS, longestDeadlineUs / US_PER_MS) + KILL_GRACE_MS - STOP_MARGIN_MS;
     }
 
-    private void runWhenDrained(Runnable done) {
+    private void runWhenDrained(Runnable action) {
         if (frontend.isDrained()) {
-            done.run();
+            action.run();
         } else {
-            loop.schedule(() -> runWhenDrained(done), DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> runWhenDrained(action), DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/node/src/main/java/tansypass/node/process/SignalUnavailableException.java
+++ b/node/src/main/java/tansypass/node/process/SignalUnavailableException.java
@@ -1,6 +1,6 @@
 package tansypass.node.process;
 
-/** A signal can't be handled on this runtime or operating system; the cause says why. */
+/** Thrown if a signal can't be handled on this runtime or operating system. The cause has the reason. */
 final class SignalUnavailableException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/tansypass/node/process/StandardErrorPrinter.java
+++ b/node/src/main/java/tansypass/node/process/StandardErrorPrinter.java
@@ -1,10 +1,10 @@
 package tansypass.node.process;
 
-/** Messages to the operator that do not depend on the log being configured. Thread-safe. */
+/** Prints messages to the operator, independently of the log's configuration. Thread-safe. */
 final class StandardErrorPrinter {
     private StandardErrorPrinter() {}
 
-    /** Prints a message on one line, whatever line breaks it contains. */
+    /** Prints a message on one line, with each line break replaced by a space. */
     static void print(String message) {
         System.err.println("tansypass: " + message.replaceAll("\\s*\\R\\s*", " "));
     }
--- a/node/src/main/java/tansypass/node/process/package-info.java
+++ b/node/src/main/java/tansypass/node/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A node as a process: its start, reload and graceful shutdown, its signals, and the wiring of its parts in
+ * A node as a process: its start, reload and graceful shutdown, its signals, and the connections between its parts in
  * {@link tansypass.node.process.ProxyNode}.
  */
 package tansypass.node.process;
