--- a/node/src/test/java/tansypass/node/ChildNodeProcess.java
+++ b/node/src/test/java/tansypass/node/ChildNodeProcess.java
@@ -9,11 +9,14 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A node's program running in a process of its own; its standard error goes to its standard output. */
+/** A node's program in a child process, whose standard error goes to its standard output. */
 final class ChildNodeProcess {
-    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.PATIENCE_S);
+    private static final Duration TIMEOUT = Duration.ofSeconds(FakePeer.PATIENCE_S);
 
-    /** Ended through its handle: {@link Process#destroy} would close the stream of the output. */
+    /**
+     * The child process. It is ended through its handle, because {@link Process#destroy} would close the output
+     * stream.
+     */
     private final Process process;
 
     private final ProcessOutput output;
@@ -49,12 +52,12 @@
         return process.isAlive();
     }
 
-    /** Waits for the process to exit, for this time at most. */
+    /** Waits for the process to exit, for at most {@code limitMs}. */
     void awaitExit(long limitMs) throws InterruptedException {
         process.waitFor(limitMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Asserts that the process exits with this code within {@link FakePeer#PATIENCE_S}. */
+    /** Asserts that the process exits with the given code within {@link FakePeer#PATIENCE_S}. */
     void assertExits(int code, String message) throws InterruptedException {
         assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still running");
         assertEquals(code, process.exitValue(), message);
@@ -71,14 +74,20 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Waits until the program has printed this text; fails with its output after {@link FakePeer#PATIENCE_S}. */
+    /**
+     * Waits until the program has printed the text. Fails after {@link FakePeer#PATIENCE_S} with the output in its
+     * message.
+     */
     void awaitPrinted(String expected) throws InterruptedException {
-        output.awaitText(expected, PATIENCE);
+        output.awaitText(expected, TIMEOUT);
     }
 
-    /** Returns the whole output once it has ended; fails with the output so far after {@link FakePeer#PATIENCE_S}. */
+    /**
+     * Waits for the end of the output and returns all of it. Fails after {@link FakePeer#PATIENCE_S} with the output
+     * so far in its message.
+     */
     String awaitOutputEnd() throws InterruptedException {
-        return output.awaitEnd(PATIENCE);
+        return output.awaitEnd(TIMEOUT);
     }
 
     /** Kills the process and returns its output. */
--- a/node/src/test/java/tansypass/node/ClientDisconnectTest.java
+++ b/node/src/test/java/tansypass/node/ClientDisconnectTest.java
@@ -21,19 +21,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.http.BodyMemoryLimiter;
 
-/** A request whose client has disconnected is not forwarded, wherever it waits. */
+/** A request is not forwarded after its client has disconnected, wherever the request waits. */
 @Timeout(120)
 class ClientDisconnectTest extends RunningNodeTestBase {
     private static final String CONNECTED_ID = "00000000000000ff";
 
-    private static String get(long id) {
+    private static String formatGet(long id) {
         return Fixture.formatRequest("GET", "/view", id, "", "");
     }
 
     /** Asserts that the next request a server receives is that of a client which stays connected. */
     private void assertOnlyConnectedClientIsForwarded() throws Exception {
         Socket other = node.connect();
-        FakePeer.write(other, get(0xff));
+        FakePeer.write(other, formatGet(0xff));
         assertTrue(FakePeer.readMessage(other).startsWith("HTTP/1.1 200"));
         assertEquals(CONNECTED_ID, FakePeer.findHeader(server.nextRequest(), "X-Txn"));
         assertTrue(server.requests.isEmpty(), "forwarded after the client had disconnected");
@@ -42,17 +42,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 20, 500})
-    void dropsPipelinedRequestsBehindOneInFlight(int pipelined) throws Exception {
+    void dropsPipelinedRequestsBehindOneInFlight(int pipelinedCount) throws Exception {
         server.setScript(FakePeer.SILENT);
         node = new RunningNode(Fixture.createConfig(discovery.peer, server));
         Socket client = node.connect();
-        FakePeer.write(client, get(1));
+        FakePeer.write(client, formatGet(1));
         server.nextRequest();
-        StringBuilder behind = new StringBuilder();
-        for (int i = 0; i < pipelined; i++) {
-            behind.append(get(2 + i));
+        StringBuilder pipeline = new StringBuilder();
+        for (int i = 0; i < pipelinedCount; i++) {
+            pipeline.append(formatGet(2 + i));
         }
-        FakePeer.write(client, behind.toString());
+        FakePeer.write(client, pipeline.toString());
         client.close();
         FakePeer.awaitNext(server.ended);
         server.setScript(Fixture.RESPOND_OK);
@@ -64,19 +64,19 @@
         server.setScript(FakePeer.SILENT);
         node = new RunningNode(Fixture.createConfig(discovery.peer, server));
         Socket client = node.connect();
-        FakePeer.write(client, get(1));
+        FakePeer.write(client, formatGet(1));
         server.nextRequest();
         Thread sender = new Thread(() -> {
             try {
                 for (int i = 0; i < 4_000; i++) {
-                    FakePeer.write(client, get(2 + i));
+                    FakePeer.write(client, formatGet(2 + i));
                 }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
         sender.start();
-        // All of it is read, and dropped.
+        // The node has read and dropped all of these requests.
         sender.join();
         FakePeer.write(FakePeer.awaitNext(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String response = FakePeer.readMessage(client);
@@ -93,7 +93,7 @@
         CountDownLatch release = node.blockEventLoop();
         for (int i = 1; i < 20; i++) {
             try (Socket client = node.connect()) {
-                FakePeer.write(client, get(i));
+                FakePeer.write(client, formatGet(i));
             }
         }
         release.countDown();
@@ -107,7 +107,7 @@
         json.add("known", JsonParser.parseString(Fixture.formatEndpointList(41, true, "Terminating", server)));
         node = new RunningNode(json);
         Socket client = node.connect();
-        FakePeer.write(client, get(1));
+        FakePeer.write(client, formatGet(1));
         node.awaitMetric("in_flight", 1);
         client.close();
         node.awaitMetric("abandoned", 1);
@@ -129,7 +129,7 @@
         FakePeer.write(client, Fixture.formatRequest("POST", "/slow", 1, "", body));
         client.close();
         publishReadyServer();
-        // The node sees the close of the client's connection first, and then the server.
+        // The node sees the end of the client's connection before it sees the ready server.
         FakePeer.awaitNext(server.ended);
         String partial = server.requests.poll();
         assertTrue(
@@ -140,36 +140,36 @@
     @Test
     void dropsRequestsThatConnectToServerOrAwaitRetry() throws Exception {
         server.setScript(FakePeer.RESET);
-        List<Socket> queued = new ArrayList<>();
+        List<Socket> queuedSockets = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            queued.addAll(Fixture.fillAcceptQueue(listener));
-            String both = Fixture.formatEndpointList(41, true, "Ready", server, server)
+            queuedSockets.addAll(Fixture.fillAcceptQueue(listener));
+            String endpointList = Fixture.formatEndpointList(41, true, "Ready", server, server)
                     .replaceFirst("s-" + server.port(), "s-1")
                     .replaceFirst(server.address(), "127.0.0.1:" + listener.getLocalPort());
             JsonObject json = Fixture.createConfig(discovery.peer, server);
-            json.add("known", JsonParser.parseString(both));
+            json.add("known", JsonParser.parseString(endpointList));
             node = new RunningNode(json);
             List<Socket> clients = new ArrayList<>();
             for (int i = 1; i <= 8; i++) {
                 Socket client = node.connect();
                 clients.add(client);
-                FakePeer.write(client, get(i));
+                FakePeer.write(client, formatGet(i));
             }
             node.awaitMetric("in_flight", 8);
             for (Socket client : clients) {
                 client.close();
             }
             node.awaitMetric("in_flight", 0);
-            long sent = node.readMetric("attempts");
-            // Now the connections opened for these requests are established.
+            long attemptsBefore = node.readMetric("attempts");
+            // Accepting lets the connections that were opened for these requests be established.
             listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
-            for (int i = 0; i < queued.size(); i++) {
+            for (int i = 0; i < queuedSockets.size(); i++) {
                 listener.accept();
             }
             node.loop.submit(() -> {}).get();
-            assertEquals(sent, node.readMetric("attempts"), "forwarded after the client had disconnected");
+            assertEquals(attemptsBefore, node.readMetric("attempts"), "forwarded after the client had disconnected");
         }
-        for (Socket socket : queued) {
+        for (Socket socket : queuedSockets) {
             socket.close();
         }
     }
--- a/node/src/test/java/tansypass/node/ClientFloodTest.java
+++ b/node/src/test/java/tansypass/node/ClientFloodTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.api.Timeout;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** More client connections than descriptors: which connections are closed to make room for others. */
+/** More client connections than descriptors: the node closes some connections to make room for others. */
 @Timeout(120)
 class ClientFloodTest extends RunningNodeTestBase {
-    /** The descriptor limit: a third is for clients, and another third remains for servers. */
-    private static final int SOCKETS = 3 * DescriptorLimiter.RESERVED_DESCRIPTORS;
+    /** The limit of descriptors. A third is for clients, a third is reserved, and the rest is for servers. */
+    private static final int DESCRIPTOR_LIMIT = 3 * DescriptorLimiter.RESERVED_DESCRIPTORS;
 
-    private static final int CLIENTS = SOCKETS / 3;
-    /** Connections accepted in one iteration of the event loop. */
-    private static final int ACCEPTED_AT_ONCE = 16;
+    private static final int MAX_CLIENTS = DESCRIPTOR_LIMIT / 3;
+    /** The number of connections accepted in one iteration of the event loop. */
+    private static final int ACCEPTED_PER_ITERATION = 16;
 
-    private void start(int sockets) throws Exception {
+    private void start(int descriptorLimit) throws Exception {
         JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", sockets);
+        json.getAsJsonObject("limits").addProperty("sockets", descriptorLimit);
         node = new RunningNode(json);
     }
 
@@ -42,13 +42,13 @@
         assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
     }
 
-    /** Opens a connection with a request of which only this many bytes of the body are sent. */
-    private Socket openWithPartialRequest(long id, int length, int sent) throws Exception {
+    /** Opens a connection with a request, and sends only the first bytes of its body. */
+    private Socket openWithPartialRequest(long id, int bodyLength, int sentBytes) throws Exception {
         Socket client = node.connect();
         FakePeer.write(
                 client,
-                Fixture.formatRequest("POST", "/order", id, "", "x".repeat(length))
-                        .replaceFirst("x{" + (length - sent) + "}$", ""));
+                Fixture.formatRequest("POST", "/order", id, "", "x".repeat(bodyLength))
+                        .replaceFirst("x{" + (bodyLength - sentBytes) + "}$", ""));
         return client;
     }
 
@@ -75,7 +75,7 @@
 
     @Test
     void servesRequestsAmongSilentIdleAndPartialClients() throws Exception {
-        start(SOCKETS);
+        start(DESCRIPTOR_LIMIT);
         List<Socket> partial = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             node.connect();
@@ -91,37 +91,37 @@
 
     @Test
     void closesOneIdleConnectionForEachConnectionAcceptedAtOnce() throws Exception {
-        start(SOCKETS);
+        start(DESCRIPTOR_LIMIT);
         List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < CLIENTS - 1; i++) {
+        for (int i = 0; i < MAX_CLIENTS - 1; i++) {
             idle.add(openIdle());
         }
         server.setScript(FakePeer.SILENT);
         CountDownLatch release = node.blockEventLoop();
-        for (int i = 0; i < ACCEPTED_AT_ONCE; i++) {
+        for (int i = 0; i < ACCEPTED_PER_ITERATION; i++) {
             openWithRequest(i);
         }
         release.countDown();
-        node.awaitMetric("in_flight", ACCEPTED_AT_ONCE);
+        node.awaitMetric("in_flight", ACCEPTED_PER_ITERATION);
         release = node.blockEventLoop();
         int closed = 0;
         for (Socket client : idle) {
             closed += isClosed(client) ? 1 : 0;
         }
         release.countDown();
-        assertEquals(ACCEPTED_AT_ONCE, closed);
+        assertEquals(ACCEPTED_PER_ITERATION, closed);
     }
 
     @Test
     void closesRequestWithLeastProgressFirst() throws Exception {
-        start(SOCKETS);
+        start(DESCRIPTOR_LIMIT);
         Socket kept = node.connect();
         Socket uploading = openWithPartialRequest(1, 60_000, 59_990);
-        for (int i = 2; i < CLIENTS - 1; i++) {
+        for (int i = 2; i < MAX_CLIENTS - 1; i++) {
             openWithPartialRequest(i, 10, 3);
         }
         for (int i = 0; i < 3; i++) {
-            // By the first response all connections above are accepted, by the last they are read.
+            // With the first response, all connections above have been accepted; with the last, they have been read.
             assertReady(kept);
         }
         for (int i = 0; i < 10; i++) {
@@ -139,10 +139,10 @@
         server.setScript(FakePeer.SILENT);
         Socket first = openWithRequest(1);
         server.nextRequest();
-        long fullAt = System.nanoTime();
+        long fullSinceNs = System.nanoTime();
         Socket waiting = openWithRequest(2);
         awaitOneSecond();
-        long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fullAt);
+        long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fullSinceNs);
         server.setScript(Fixture.RESPOND_OK);
         first.close();
         long forwardedMs = readRemainingMs(server.nextRequest());
--- a/node/src/test/java/tansypass/node/Fixture.java
+++ b/node/src/test/java/tansypass/node/Fixture.java
@@ -21,7 +21,7 @@
 import tansypass.node.configuration.NodeConfig;
 import tansypass.platform.EnvironmentConfigSource;
 
-/** Creates the configurations, requests, endpoint lists and connections that the tests use. */
+/** Creates configurations, requests, endpoint lists and connections for the tests. */
 public final class Fixture {
     /** The deadline of requests, in milliseconds after they are sent. */
     static final int REMAINING_MS = 20_000;
@@ -40,14 +40,14 @@
 
     private Fixture() {}
 
-    /** Connects to a port on loopback; reading there fails after {@link FakePeer#PATIENCE_S} seconds. */
+    /** Connects to a port on loopback. Reads from the socket time out after {@link FakePeer#PATIENCE_S} seconds. */
     public static Socket connect(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
         return socket;
     }
 
-    /** Creates a configuration in which these servers are known and ready. */
+    /** Creates a configuration whose endpoint list has these servers, all of them ready. */
     static JsonObject createConfig(FakePeer discovery, FakePeer... servers) {
         return JsonParser.parseString(
                         """
@@ -73,7 +73,10 @@
         return socket;
     }
 
-    /** Fills the accept queue, so that Linux drops further SYN packets; the caller closes the sockets. */
+    /**
+     * Fills a listener's accept queue, so that Linux drops further SYN packets. The caller closes the returned
+     * sockets.
+     */
     public static List<Socket> fillAcceptQueue(ServerSocket listener) throws IOException {
         List<Socket> queued = new ArrayList<>();
         try {
@@ -125,7 +128,7 @@
                 .load();
     }
 
-    /** Formats a message of the watch: a complete list of endpoints if {@code all}, changes otherwise. */
+    /** Formats a message of the watch: the complete endpoint list if {@code all} is true, changes to it otherwise. */
     public static String formatEndpointList(long revision, boolean all, String state, FakePeer... servers) {
         StringBuilder targets = new StringBuilder();
         for (FakePeer server : servers) {
@@ -136,7 +139,7 @@
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
     }
 
-    /** Formats a request; headers are each ended by CRLF. */
+    /** Formats a request. Each of the additional headers must end with CRLF. */
     static String formatRequest(String method, String path, long id, String headers, String body) {
         return method + " " + path + " HTTP/1.1\r\nHost: backend.local\r\nX-Txn: "
                 + String.format("%016x", id) + "\r\nX-Org: acme\r\nX-Remaining-Ms: " + REMAINING_MS + "\r\n"
@@ -149,7 +152,7 @@
         FakePeer.write(watch, WATCH_HEAD);
     }
 
-    /** Sends a line of a watch as an HTTP chunk; an empty one is a heartbeat. */
+    /** Sends a line of a watch as an HTTP chunk. An empty line is a heartbeat. */
     public static void writeWatchLine(Socket watch, String line) throws IOException {
         FakePeer.write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
--- a/node/src/test/java/tansypass/node/MainTest.java
+++ b/node/src/test/java/tansypass/node/MainTest.java
@@ -52,17 +52,17 @@
     }
 
     private void awaitReady() throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         String response = "";
         while (response == null || !response.startsWith("HTTP/1.1 200")) {
             assertTrue(
-                    process.isAlive() && System.nanoTime() < deadline,
+                    process.isAlive() && System.nanoTime() < deadlineNs,
                     () -> "never ready; it printed: " + process.killAndReadOutput());
             try (Socket socket = connect()) {
                 FakePeer.write(socket, "GET /ready HTTP/1.1\r\n\r\n");
                 response = FakePeer.readMessage(socket);
             } catch (IOException e) {
-                // Not listening yet: leave the processor to the process.
+                // The process does not listen yet. Waiting for its exit leaves it the processor.
                 process.awaitExit(20);
             }
         }
@@ -78,7 +78,7 @@
         server.nextRequest();
         Socket attempt = FakePeer.awaitNext(server.accepted);
         process.terminate();
-        // For a while new clients are still accepted, and served.
+        // For a while after SIGTERM, new clients are still accepted and served.
         Socket late = connect();
         FakePeer.write(late, "GET /nothing HTTP/1.1\r\n\r\n");
         assertTrue(
@@ -104,7 +104,7 @@
         process.terminate();
         process.hangUp();
         process.terminate();
-        // The node has handled SIGTERM once connections close after their response.
+        // Once the node closes a connection after its response, it has handled SIGTERM.
         String connectionHeader = "";
         while (!"close".equals(connectionHeader)) {
             try (Socket late = connect()) {
@@ -148,13 +148,13 @@
     void servesClientsAfterRunningOutOfDescriptors() throws Exception {
         // The configured limit is higher than that of the process.
         startAndAwaitReady(createConfig(), "ulimit -n 100 && ");
-        // In tests classes are loaded from files, which needs descriptors: load them before these run out.
+        // In tests, classes are loaded from files, which needs descriptors. This request loads them in time.
         assertServed(0);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             clients.add(connect());
         }
-        // Idle connections are closed to make room, so that each request gets a response.
+        // The node closes idle connections to make room, so that each request gets a response.
         Socket requesting = clients.get(clients.size() - 1);
         FakePeer.write(requesting, Fixture.formatRequest("GET", "/view", 1, "", ""));
         String response = FakePeer.readMessage(requesting);
@@ -189,7 +189,7 @@
         assertTrue(output.contains("tansypass: the event loop has ended by a fault"), output);
     }
 
-    /** The program with a log handler that throws at each record, as if its classes could not be loaded. */
+    /** The node's program with a log handler that throws at each record, as if its classes could not be loaded. */
     static final class MainWithFailingLogHandler {
         public static void main(String[] args) {
             Logger.getLogger("").addHandler(new ConsoleHandler() {
--- a/node/src/test/java/tansypass/node/ProcessOutput.java
+++ b/node/src/test/java/tansypass/node/ProcessOutput.java
@@ -11,15 +11,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The output of a child process, in UTF-8. A read of a pipe blocks for as long as the process prints nothing and
- * can't be interrupted, so a daemon thread does it, and the test waits on a queue, with a deadline.
+ * The output of a child process, decoded as UTF-8. A daemon thread reads it, because a read of a pipe blocks while
+ * the process prints nothing and can't be interrupted. The test takes what has been read from a queue, with a
+ * deadline.
  *
  * <p>All methods are for the thread of the test.
  */
 final class ProcessOutput {
     private static final int BUFFER_CHARS = 8_192;
-    /** The last element of the queue; a chunk of the output is never empty. */
-    private static final String END = "";
+    /** The last element of the queue. A chunk of the output is never empty. */
+    private static final String END_OF_OUTPUT = "";
 
     private final BlockingQueue<String> chunks = new LinkedBlockingQueue<>();
     private final StringBuilder printed = new StringBuilder();
@@ -41,11 +42,14 @@
         } catch (IOException e) {
             chunks.add("[the output could not be read: " + e + "]");
         } finally {
-            chunks.add(END);
+            chunks.add(END_OF_OUTPUT);
         }
     }
 
-    /** Waits until the process has printed this text; fails with the output at the deadline or the output's end. */
+    /**
+     * Waits until the process has printed the text. Fails with the output in its message at the deadline, or when the
+     * output ends before.
+     */
     void awaitText(String expected, Duration limit) throws InterruptedException {
         long deadlineNs = System.nanoTime() + limit.toNanos();
         while (printed.indexOf(expected) < 0) {
@@ -56,7 +60,10 @@
         }
     }
 
-    /** Returns the whole output once it has ended; fails with the output so far at the deadline. */
+    /**
+     * Waits for the end of the output and returns all of it. Fails at the deadline with the output so far in its
+     * message.
+     */
     String awaitEnd(Duration limit) throws InterruptedException {
         long deadlineNs = System.nanoTime() + limit.toNanos();
         while (!ended) {
@@ -70,7 +77,7 @@
         if (chunk == null) {
             throw new AssertionError(failure + "; it printed: " + printed);
         }
-        ended = chunk.equals(END);
+        ended = chunk.equals(END_OF_OUTPUT);
         printed.append(chunk);
     }
 }
--- a/node/src/test/java/tansypass/node/ProcessOutputTest.java
+++ b/node/src/test/java/tansypass/node/ProcessOutputTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Deadlines of the reads of a child process's output. */
+/** Deadlines while waiting for a child process's output. */
 @Timeout(60)
 class ProcessOutputTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(FakePeer.PATIENCE_S);
-    private static final Duration SHORT = Duration.ofMillis(50);
+    private static final Duration TIMEOUT = Duration.ofSeconds(FakePeer.PATIENCE_S);
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(50);
     /** Prints a line and then waits for input, which never comes. */
     private static final String SILENT_AFTER_ONE_LINE = "echo started; exec cat";
 
@@ -34,26 +34,26 @@
     @Test
     void failsWithOutputSoFarWhenTextIsNotPrintedInTime() throws Exception {
         ProcessOutput output = run(SILENT_AFTER_ONE_LINE);
-        output.awaitText("started\n", PATIENCE);
+        output.awaitText("started\n", TIMEOUT);
         AssertionError failure = assertTimeoutPreemptively(
-                PATIENCE, () -> assertThrows(AssertionError.class, () -> output.awaitText("ready", SHORT)));
+                TIMEOUT, () -> assertThrows(AssertionError.class, () -> output.awaitText("ready", SHORT_TIMEOUT)));
         assertEquals("did not print \"ready\" within PT0.05S; it printed: started\n", failure.getMessage());
     }
 
     @Test
     void failsWithOutputSoFarWhenOutputDoesNotEndInTime() throws Exception {
         ProcessOutput output = run(SILENT_AFTER_ONE_LINE);
-        output.awaitText("started\n", PATIENCE);
+        output.awaitText("started\n", TIMEOUT);
         AssertionError failure = assertTimeoutPreemptively(
-                PATIENCE, () -> assertThrows(AssertionError.class, () -> output.awaitEnd(SHORT)));
+                TIMEOUT, () -> assertThrows(AssertionError.class, () -> output.awaitEnd(SHORT_TIMEOUT)));
         assertEquals("did not end its output within PT0.05S; it printed: started\n", failure.getMessage());
     }
 
     @Test
     void failsWithWholeOutputWhenItEndsWithoutText() throws Exception {
         ProcessOutput output = run("echo started; echo stopped");
-        AssertionError failure = assertThrows(AssertionError.class, () -> output.awaitText("ready", PATIENCE));
+        AssertionError failure = assertThrows(AssertionError.class, () -> output.awaitText("ready", TIMEOUT));
         assertTrue(failure.getMessage().endsWith("it printed: started\nstopped\n"), failure.getMessage());
-        assertEquals("started\nstopped\n", output.awaitEnd(PATIENCE));
+        assertEquals("started\nstopped\n", output.awaitEnd(TIMEOUT));
     }
 }
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -29,7 +29,7 @@
 import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.process.ProxyNode;
 
-/** The whole node between fake clients, servers and discovery. */
+/** A whole node with fake clients, web servers and service discovery. */
 @Timeout(120)
 class ProxyNodeTest extends RunningNodeTestBase {
     private FakePeer otherServer;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Starts a node; returns the port it listens on. */
+    /** Starts a node and returns the port on which it listens. */
     private int start(JsonObject json) throws Exception {
         node = new RunningNode(json);
         return node.port;
@@ -62,7 +62,7 @@
         return FakePeer.readMessage(client);
     }
 
-    private static int status(String response) {
+    private static int parseStatus(String response) {
         assertNotNull(response, "the connection ended without a response");
         return Integer.parseInt(response.substring(9, 12));
     }
@@ -76,18 +76,20 @@
                 1,
                 "Idempotency-Key: abc\r\n" + "Cookie: key=9\r\nConnection: keep-alive\r\n",
                 "pixels"));
-        assertEquals(200, status(response));
+        assertEquals(200, parseStatus(response));
         assertTrue(response.endsWith("\r\n\r\ndone"), response);
-        String sent = server.nextRequest();
-        assertTrue(sent.startsWith("POST /photo/7?size=2 HTTP/1.1\r\n"), sent);
-        assertTrue(sent.endsWith("\r\n\r\npixels"), sent);
-        assertEquals("abc", FakePeer.findHeader(sent, "Idempotency-Key"));
-        assertEquals("0000000000000001", FakePeer.findHeader(sent, "X-Txn"));
-        assertEquals("key=9", FakePeer.findHeader(sent, "Cookie"));
-        int left = Integer.parseInt(FakePeer.findHeader(sent, "X-Remaining-Ms"));
-        assertTrue(left > 0 && left <= Fixture.REMAINING_MS, "forwarded with a deadline of " + left);
+        String forwarded = server.nextRequest();
+        assertTrue(forwarded.startsWith("POST /photo/7?size=2 HTTP/1.1\r\n"), forwarded);
+        assertTrue(forwarded.endsWith("\r\n\r\npixels"), forwarded);
+        assertEquals("abc", FakePeer.findHeader(forwarded, "Idempotency-Key"));
+        assertEquals("0000000000000001", FakePeer.findHeader(forwarded, "X-Txn"));
+        assertEquals("key=9", FakePeer.findHeader(forwarded, "Cookie"));
+        int remainingMs = Integer.parseInt(FakePeer.findHeader(forwarded, "X-Remaining-Ms"));
+        assertTrue(
+                remainingMs > 0 && remainingMs <= Fixture.REMAINING_MS,
+                "forwarded with a deadline of " + remainingMs + " ms");
         assertTrue(server.requests.isEmpty());
-        assertEquals(200, status(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
+        assertEquals(200, parseStatus(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
     }
 
     @Test
@@ -97,11 +99,11 @@
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path);
         });
         start(server);
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipeline = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            all.append(Fixture.formatRequest("GET", "/view/" + i, i, "", ""));
+            pipeline.append(Fixture.formatRequest("GET", "/view/" + i, i, "", ""));
         }
-        FakePeer.write(client, all.toString());
+        FakePeer.write(client, pipeline.toString());
         for (int i = 0; i < 40; i++) {
             String response = FakePeer.readMessage(client);
             assertTrue(response.endsWith("\r\n\r\n/view/" + i), response);
@@ -110,16 +112,17 @@
 
     @Test
     void longPipelineIsAnsweredToItsEnd() throws Exception {
-        int most = 3_000;
+        int pipelinedCount = 3_000;
         server.setScript(FakePeer.SILENT);
         start(server);
         FakePeer.write(
-                client, Fixture.formatRequest("GET", "/view", 1, "", "") + "GET /n HTTP/1.1\r\n\r\n".repeat(most));
+                client,
+                Fixture.formatRequest("GET", "/view", 1, "", "") + "GET /n HTTP/1.1\r\n\r\n".repeat(pipelinedCount));
         server.nextRequest();
         FakePeer.write(FakePeer.awaitNext(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(200, status(FakePeer.readMessage(client)));
-        for (int i = 0; i < most; i++) {
-            assertEquals(404, status(FakePeer.readMessage(client)));
+        assertEquals(200, parseStatus(FakePeer.readMessage(client)));
+        for (int i = 0; i < pipelinedCount; i++) {
+            assertEquals(404, parseStatus(FakePeer.readMessage(client)));
         }
     }
 
@@ -128,10 +131,10 @@
         server.setScript(FakePeer.RESET);
         otherServer.setScript(FakePeer.RESET);
         start(server, otherServer);
-        int status = status(sendRequest(Fixture.formatRequest("POST", "/order", 1, "", "")));
+        int status = parseStatus(sendRequest(Fixture.formatRequest("POST", "/order", 1, "", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
-        // This round trip ends after any retry would have been sent.
-        assertEquals(200, status(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
+        // When this round trip ends, any retry would have been sent.
+        assertEquals(200, parseStatus(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
         assertEquals(1, server.requests.size() + otherServer.requests.size());
     }
 
@@ -140,7 +143,7 @@
         server.setScript(FakePeer.respondWith("500 No", "", ""));
         start(server, otherServer);
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
+            assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
         }
         assertFalse(otherServer.requests.isEmpty());
     }
@@ -150,7 +153,7 @@
         server.setScript(FakePeer.respondWith("503 Full", "X-Turned-Away: 1\r\n", ""));
         start(server);
         String response = sendRequest(Fixture.formatRequest("POST", "/order", 1, "", ""));
-        assertEquals(503, status(response));
+        assertEquals(503, parseStatus(response));
         assertEquals("1", FakePeer.findHeader(response, "Retry-After"));
     }
 
@@ -158,10 +161,10 @@
     void silentServerTimesOutWithinTheClientsDeadline() throws Exception {
         server.setScript(FakePeer.SILENT);
         start(server);
-        long from = System.nanoTime();
-        int status = status(sendRequest(Fixture.formatRequest("POST", "/slow", 1, "", "")
+        long startNs = System.nanoTime();
+        int status = parseStatus(sendRequest(Fixture.formatRequest("POST", "/slow", 1, "", "")
                 .replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 700")));
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "timed out after " + tookMs + " ms");
         FakePeer.awaitNext(server.ended);
@@ -183,7 +186,7 @@
     void idleConnectionClosedByTheServerLosesNoRequest() throws Exception {
         start(server);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, status(sendRequest(Fixture.formatRequest("POST", "/order", i, "", ""))));
+            assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("POST", "/order", i, "", ""))));
             FakePeer.awaitNext(server.accepted).close();
             FakePeer.awaitNext(server.ended);
         }
@@ -195,19 +198,19 @@
         start(server, otherServer);
         String watch = discovery.peer.nextRequest();
         assertTrue(watch.startsWith("GET /v1/endpoints?watch=1&after=41 "), watch);
-        assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", 0, "", ""))));
+        assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", 0, "", ""))));
         discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", server));
-        // Updates are asynchronous: the node has read both once 20 requests in a row avoid the server.
+        // The node reads updates asynchronously. It has read both once 20 requests in a row avoid the draining server.
         discovery.publish(Fixture.formatEndpointList(43, false, "Ready", otherServer));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-        int quiet = 0;
-        for (int i = 1; quiet < 20; i++) {
-            int before = server.requests.size();
-            assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
-            quiet = server.requests.size() == before ? quiet + 1 : 0;
-            assertTrue(System.nanoTime() < until, "the draining server still gets requests");
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        int avoidedInARow = 0;
+        for (int i = 1; avoidedInARow < 20; i++) {
+            int countBefore = server.requests.size();
+            assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
+            avoidedInARow = server.requests.size() == countBefore ? avoidedInARow + 1 : 0;
+            assertTrue(System.nanoTime() < deadlineNs, "the draining server still gets requests");
         }
-        // After a broken connection the watch starts over from the last revision received.
+        // After its connection was broken, the watch resumes after the last revision that the node received.
         discovery.breakWatches();
         assertTrue(discovery.peer.nextRequest().contains("after=43 "));
     }
@@ -215,18 +218,18 @@
     @Test
     void malformedRequestIsAnswered4xxAndNotForwarded() throws Exception {
         int port = start(Fixture.createConfig(discovery.peer, server));
-        String good = Fixture.formatRequest("GET", "/view", 1, "", "");
+        String validRequest = Fixture.formatRequest("GET", "/view", 1, "", "");
         List<Map.Entry<Integer, String>> cases = new ArrayList<>(List.of(
-                Map.entry(404, good.replace("/view", "/nothing")),
-                Map.entry(404, good.replace("/view", "*")),
-                Map.entry(405, good.replace("GET", "POST")),
-                Map.entry(405, good.replace("GET", "DELETE")),
-                Map.entry(400, good.replace("X-Org: acme", "X-Org: nobody")),
-                Map.entry(400, good.replace("X-Txn: 0000000000000001\r\n", "")),
-                Map.entry(400, good.replace("X-Txn: 0000000000000001", "X-Txn: zz")),
-                Map.entry(400, good.replace("X-Remaining-Ms: " + Fixture.REMAINING_MS + "\r\n", "")),
-                Map.entry(400, good.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: -4")),
-                Map.entry(400, good.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: soon")),
+                Map.entry(404, validRequest.replace("/view", "/nothing")),
+                Map.entry(404, validRequest.replace("/view", "*")),
+                Map.entry(405, validRequest.replace("GET", "POST")),
+                Map.entry(405, validRequest.replace("GET", "DELETE")),
+                Map.entry(400, validRequest.replace("X-Org: acme", "X-Org: nobody")),
+                Map.entry(400, validRequest.replace("X-Txn: 0000000000000001\r\n", "")),
+                Map.entry(400, validRequest.replace("X-Txn: 0000000000000001", "X-Txn: zz")),
+                Map.entry(400, validRequest.replace("X-Remaining-Ms: " + Fixture.REMAINING_MS + "\r\n", "")),
+                Map.entry(400, validRequest.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: -4")),
+                Map.entry(400, validRequest.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: soon")),
                 Map.entry(400, Fixture.formatRequest("POST", "/photo", 1, "", "")),
                 Map.entry(400, "COMPLETE NONSENSE\r\n\r\n"),
                 Map.entry(
@@ -246,21 +249,22 @@
                         Fixture.formatRequest("POST", "/order", 1, "Transfer-Encoding: chunked\r\n", "")
                                         .replace("Content-Length: 0\r\n", "")
                                 + "xyz\r\n"),
-                Map.entry(400, good.replace("X-Org: acme", "X-Org acme")),
-                Map.entry(400, good.replace("HTTP/1.1", "HTTP/2.0")),
-                Map.entry(414, good.replace("/view", "/view/" + "x".repeat(9_000))),
-                Map.entry(431, good.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
-        for (Map.Entry<Integer, String> bad : cases) {
+                Map.entry(400, validRequest.replace("X-Org: acme", "X-Org acme")),
+                Map.entry(400, validRequest.replace("HTTP/1.1", "HTTP/2.0")),
+                Map.entry(414, validRequest.replace("/view", "/view/" + "x".repeat(9_000))),
+                Map.entry(431, validRequest.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
+        for (Map.Entry<Integer, String> testCase : cases) {
             client = Fixture.connect(port);
-            String response = sendRequest(bad.getValue());
-            String shown =
-                    bad.getValue().substring(0, Math.min(200, bad.getValue().length()));
-            assertEquals(bad.getKey(), status(response), shown);
-            assertFalse(response.substring(response.indexOf("\r\n\r\n")).isBlank(), "no reason in the body: " + shown);
+            String response = sendRequest(testCase.getValue());
+            String excerpt = testCase.getValue()
+                    .substring(0, Math.min(200, testCase.getValue().length()));
+            assertEquals(testCase.getKey(), parseStatus(response), excerpt);
+            assertFalse(
+                    response.substring(response.indexOf("\r\n\r\n")).isBlank(), "no reason in the body: " + excerpt);
             client.close();
         }
         client = Fixture.connect(port);
-        assertEquals(200, status(sendRequest(good)));
+        assertEquals(200, parseStatus(sendRequest(validRequest)));
         assertEquals(1, server.requests.size());
     }
 
@@ -273,7 +277,7 @@
         String response = sendRequest(
                 Fixture.formatRequest("GET", "/view", 1, HttpFrontend.WARM_UP_HEADER + ": " + token + "\r\n", ""));
         assertTrue(response.endsWith("rehearsed\n"), response);
-        assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", 2, "", ""))));
+        assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", 2, "", ""))));
         assertEquals("0000000000000002", FakePeer.findHeader(server.nextRequest(), "X-Txn"));
         assertTrue(server.requests.isEmpty());
     }
@@ -282,34 +286,34 @@
     void incompleteRequestTimesOutAndOthersAreNotAffected() throws Exception {
         server.setScript(FakePeer.SILENT);
         int port = start(Fixture.createConfig(discovery.peer, server));
-        try (Socket kept = Fixture.connect(port);
+        try (Socket keptAlive = Fixture.connect(port);
                 Socket inFlight = Fixture.connect(port)) {
-            FakePeer.write(kept, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(200, status(FakePeer.readMessage(kept)));
+            FakePeer.write(keptAlive, "GET /ready HTTP/1.1\r\n\r\n");
+            assertEquals(200, parseStatus(FakePeer.readMessage(keptAlive)));
             FakePeer.write(inFlight, Fixture.formatRequest("POST", "/order", 1, "", "x"));
             Socket attempt = FakePeer.awaitNext(server.accepted);
             server.nextRequest();
-            List<Socket> stuck = new ArrayList<>();
+            List<Socket> incomplete = new ArrayList<>();
             for (String part : List.of(
                     "",
                     "GET /vi",
                     "GET /view HTTP/1.1\r\nX-Txn: 00",
                     Fixture.formatRequest("POST", "/order", 2, "", "half").replace("half", "h"))) {
-                stuck.add(Fixture.connect(port));
-                FakePeer.write(stuck.get(stuck.size() - 1), part);
+                incomplete.add(Fixture.connect(port));
+                FakePeer.write(incomplete.get(incomplete.size() - 1), part);
             }
-            for (Socket socket : stuck) {
+            for (Socket socket : incomplete) {
                 String response = FakePeer.readMessage(socket);
-                assertEquals(408, status(response), "case " + stuck.indexOf(socket));
+                assertEquals(408, parseStatus(response), "case " + incomplete.indexOf(socket));
                 assertTrue(response.endsWith("no whole request\n"), response);
-                assertNull(FakePeer.readMessage(socket), "case " + stuck.indexOf(socket));
+                assertNull(FakePeer.readMessage(socket), "case " + incomplete.indexOf(socket));
                 socket.close();
             }
-            // These connections have been open longer than all of the above.
-            FakePeer.write(kept, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(200, status(FakePeer.readMessage(kept)));
+            // These two connections have been open longer than the incomplete ones.
+            FakePeer.write(keptAlive, "GET /ready HTTP/1.1\r\n\r\n");
+            assertEquals(200, parseStatus(FakePeer.readMessage(keptAlive)));
             FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(200, status(FakePeer.readMessage(inFlight)));
+            assertEquals(200, parseStatus(FakePeer.readMessage(inFlight)));
         }
     }
 
@@ -344,8 +348,8 @@
                     Fixture.formatRequest("POST", "/order", 1, "", "half").replace("half", "h"));
             client.close();
             client = Fixture.connect(port);
-            // The event loop has seen the close of the first connection before it responds on the second.
-            assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", 2, "", ""))));
+            // Before the event loop responds on the second connection, it has handled the close of the first.
+            assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", 2, "", ""))));
             return List.copyOf(logged);
         }));
     }
@@ -367,7 +371,7 @@
             FakePeer.write(other, Fixture.formatRequest("POST", "/order", 1, "", ""));
             server.nextRequest();
             client = Fixture.connect(port);
-            assertEquals(409, status(sendRequest(Fixture.formatRequest("POST", "/order", 1, "", ""))));
+            assertEquals(409, parseStatus(sendRequest(Fixture.formatRequest("POST", "/order", 1, "", ""))));
         }
         assertTrue(server.requests.isEmpty());
     }
@@ -377,14 +381,14 @@
         JsonObject json = Fixture.createConfig(discovery.peer, server);
         json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
         int port = start(json);
-        List<Socket> all = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             client = Fixture.connect(port);
-            all.add(client);
-            assertEquals(200, status(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
+            clients.add(client);
+            assertEquals(200, parseStatus(sendRequest(Fixture.formatRequest("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.readMessage(all.get(0)), "the oldest idle connection is still open");
-        for (Socket socket : all) {
+        assertNull(FakePeer.readMessage(clients.get(0)), "the oldest idle connection is still open");
+        for (Socket socket : clients) {
             socket.close();
         }
     }
@@ -405,9 +409,9 @@
                 .getAsJsonObject()
                 .addProperty("group", "zone");
         client = Fixture.connect(start(json));
-        int status = status(sendRequest(Fixture.formatRequest("POST", "/photo", 1, "Idempotency-Key: k\r\n", "")));
+        int status = parseStatus(sendRequest(Fixture.formatRequest("POST", "/photo", 1, "Idempotency-Key: k\r\n", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
-        assertEquals(200, status(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
+        assertEquals(200, parseStatus(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
         assertEquals(
                 1,
                 server.requests.size() + otherServer.requests.size(),
--- a/node/src/test/java/tansypass/node/ReservedPortTestBase.java
+++ b/node/src/test/java/tansypass/node/ReservedPortTestBase.java
@@ -9,26 +9,26 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Opens discovery and a web server, and reserves a port for the node, for tests that start nodes on it. */
+/** Opens service discovery and a web server, and reserves a port, for tests that start nodes on it. */
 abstract class ReservedPortTestBase {
     FakePeer discovery;
     FakePeer server;
     int port;
-    private Socket reserved;
+    private Socket portReservation;
 
     @BeforeEach
     final void openPeers() throws IOException {
         discovery = new FakePeer(FakePeer.SILENT);
         server = new FakePeer(Fixture.RESPOND_OK);
-        reserved = Fixture.reservePort();
-        port = reserved.getLocalPort();
+        portReservation = Fixture.reservePort();
+        port = portReservation.getLocalPort();
     }
 
     @AfterEach
     final void closePeers() throws IOException {
         discovery.close();
         server.close();
-        reserved.close();
+        portReservation.close();
     }
 
     /** Creates a configuration that listens on the reserved port. */
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -49,19 +49,19 @@
 
     /** Reads a metric by its name without the prefix {@code node.}; thread-safe. */
     long readMetric(String name) {
-        Map<String, Long> all = node.metrics()
+        Map<String, Long> metrics = node.metrics()
                 .format()
                 .lines()
-                .map(l -> l.split("="))
-                .collect(Collectors.toMap(l -> l[0], l -> Long.valueOf(l[1])));
-        return all.get("node." + name);
+                .map(line -> line.split("="))
+                .collect(Collectors.toMap(field -> field[0], field -> Long.valueOf(field[1])));
+        return metrics.get("node." + name);
     }
 
-    /** Waits until a metric has the given value; fails after {@link FakePeer#PATIENCE_S}. */
+    /** Waits until a metric has the given value. Fails after {@link FakePeer#PATIENCE_S}. */
     void awaitMetric(String name, long value) {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
         while (readMetric(name) != value) {
-            if (System.nanoTime() > deadline) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new AssertionError(name + " is still " + readMetric(name) + ", not " + value);
             }
             Thread.onSpinWait();
--- a/node/src/test/java/tansypass/node/RunningNodeTestBase.java
+++ b/node/src/test/java/tansypass/node/RunningNodeTestBase.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Opens discovery and web servers for tests of a {@link RunningNode}, which each test starts itself. */
+/** Opens service discovery and web servers for tests of a {@link RunningNode}, which each test starts itself. */
 abstract class RunningNodeTestBase {
     FakeDiscovery discovery;
     FakePeer server;
--- a/node/src/test/java/tansypass/node/ShutdownTest.java
+++ b/node/src/test/java/tansypass/node/ShutdownTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Shutdown with requests at each stage; timed by the event loop, whose timers fire in order. */
+/**
+ * Shutdown with requests in each state. The times are measured by timers of the node's event loop, which fire in
+ * order.
+ */
 @Timeout(120)
 class ShutdownTest extends RunningNodeTestBase {
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -39,7 +42,10 @@
         node = new RunningNode(json);
     }
 
-    /** Shuts the node down; the future tells whether it had stopped after this time on its event loop. */
+    /**
+     * Shuts the node down. The returned future is true if the node has stopped when a timer of its event loop fires
+     * after {@code checkMs}.
+     */
     private CompletableFuture<Boolean> stopAndCheckAfter(long checkMs) throws Exception {
         CompletableFuture<Boolean> stoppedInTime = new CompletableFuture<>();
         node.loop
@@ -105,8 +111,8 @@
         assertEquals(100_000 - 1, client.getInputStream().readNBytes(100_000 - 1).length);
         assertTrue(!stopAndCheckAfter(1_500).get(), "stopped during a response");
         FakePeer.write(attempt, "a".repeat(100_000));
-        byte[] rest = client.getInputStream().readAllBytes();
-        assertTrue(rest.length > 100_000, "truncated after " + rest.length);
+        byte[] remainingBytes = client.getInputStream().readAllBytes();
+        assertTrue(remainingBytes.length > 100_000, "truncated after " + remainingBytes.length);
         assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
     }
 
--- a/node/src/test/java/tansypass/node/TestEventLoopGroup.java
+++ b/node/src/test/java/tansypass/node/TestEventLoopGroup.java
@@ -12,32 +12,32 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One event loop that closes all of its channels whenever it is shut down. Netty's own event loop checks once
- * in each iteration, after polling the sockets and before running tasks, whether it has to close them; if it
- * is shut down between that check and the end of the iteration, without a quiet period, it terminates with
- * open channels, and the buffers of their decoders leak. Here the shutdown always starts before that check.
+ * A group of one event loop, which closes all of its channels whenever it is shut down. Netty's own event loop checks
+ * once in each iteration, after polling the sockets and before running tasks, whether it has to close them. If it is
+ * shut down without a quiet period between that check and the end of the iteration, it terminates with open channels,
+ * and the buffers of their decoders leak. Here the shutdown always starts before that check.
  */
 public final class TestEventLoopGroup extends MultiThreadIoEventLoopGroup {
     private final AtomicBoolean shuttingDown;
 
-    public TestEventLoopGroup(IoHandlerFactory polling) {
-        this(polling, new AtomicBoolean());
+    public TestEventLoopGroup(IoHandlerFactory handlerFactory) {
+        this(handlerFactory, new AtomicBoolean());
     }
 
-    private TestEventLoopGroup(IoHandlerFactory polling, AtomicBoolean shuttingDown) {
+    private TestEventLoopGroup(IoHandlerFactory handlerFactory, AtomicBoolean shuttingDown) {
         super(
                 1,
-                executor ->
-                        shutDownInPoll(polling.newHandler(executor), (SingleThreadIoEventLoop) executor, shuttingDown));
+                executor -> shutDownInPoll(
+                        handlerFactory.newHandler(executor), (SingleThreadIoEventLoop) executor, shuttingDown));
         this.shuttingDown = shuttingDown;
     }
 
     private static IoHandler shutDownInPoll(
-            IoHandler polling, SingleThreadIoEventLoop loop, AtomicBoolean shuttingDown) {
+            IoHandler delegate, SingleThreadIoEventLoop loop, AtomicBoolean shuttingDown) {
         return (IoHandler) Proxy.newProxyInstance(
                 IoHandler.class.getClassLoader(), new Class<?>[] {IoHandler.class}, (proxy, method, arguments) -> {
                     try {
-                        return method.invoke(polling, arguments);
+                        return method.invoke(delegate, arguments);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     } finally {
@@ -55,7 +55,7 @@
             // Wakes the event loop for another iteration.
             next().execute(() -> {});
         } catch (RejectedExecutionException e) {
-            // The iteration that was running has terminated the event loop.
+            // The event loop was already terminated by the iteration that was running.
         }
         return terminationFuture();
     }
--- a/node/src/test/java/tansypass/node/TestEventLoopGroupTest.java
+++ b/node/src/test/java/tansypass/node/TestEventLoopGroupTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Shutdown of the tests' event loops. */
+/** Shutdown of the event loops that the tests use. */
 class TestEventLoopGroupTest {
     @Test
-    void loopShutDownAfterItsPollStillClosesItsChannels() throws Exception {
+    void closesChannelsWhenShutDownAfterPoll() throws Exception {
         EventLoopGroup group = new TestEventLoopGroup(NioIoHandler.newFactory());
         Channel channel = new ServerBootstrap()
                 .group(group)
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -30,7 +30,7 @@
 import tansypass.node.lifecycle.Lifecycle;
 import tansypass.node.process.ProxyNode;
 
-/** Two nodes on one address, of which the newer takes over from the older. */
+/** Two nodes on one address: the newer one takes over from the older one. */
 @Timeout(120)
 class UpgradeTest extends ReservedPortTestBase {
     private final List<EventLoopGroup> groups = new ArrayList<>();
@@ -74,35 +74,35 @@
     @Test
     void newNodeTakesOverWithoutLostOrDuplicateRequests() throws Exception {
         StartedNode oldNode = start();
-        long sent = 0;
-        for (; sent < 10; sent++) {
-            assertServed(sent);
+        long sentCount = 0;
+        for (; sentCount < 10; sentCount++) {
+            assertServed(sentCount);
         }
         StartedNode newNode = start();
-        // The kernel distributes connections at random: after this many, both nodes have had some.
-        for (; sent < 60; sent++) {
-            assertServed(sent);
+        // The kernel distributes connections at random. With this many, both nodes have had some.
+        for (; sentCount < 60; sentCount++) {
+            assertServed(sentCount);
         }
-        assertTrue(servedBy(oldNode) > 10 && servedBy(newNode) > 0, "one of the nodes got no request");
+        assertTrue(countServed(oldNode) > 10 && countServed(newNode) > 0, "one of the nodes got no request");
         CountDownLatch oldStopped = oldNode.stop();
         while (!oldStopped.await(0, TimeUnit.SECONDS)) {
-            assertServed(sent++);
+            assertServed(sentCount++);
         }
-        long servedUntilStop = servedBy(oldNode);
+        long servedUntilStop = countServed(oldNode);
         for (int i = 0; i < 20; i++) {
-            assertServed(sent++);
+            assertServed(sentCount++);
         }
-        assertEquals(servedUntilStop, servedBy(oldNode), "the stopped node still serves clients");
+        assertEquals(servedUntilStop, countServed(oldNode), "the stopped node still serves clients");
         Set<String> ids = new HashSet<>();
         server.requests.forEach(
                 request -> assertTrue(ids.add(FakePeer.findHeader(request, "X-Txn")), "forwarded twice"));
-        assertEquals(sent, ids.size());
+        assertEquals(sentCount, ids.size());
         CountDownLatch newStopped = newNode.stop();
         assertTrue(newStopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         assertThrows(ConnectException.class, this::connect);
     }
 
-    private static long servedBy(StartedNode started) {
+    private static long countServed(StartedNode started) {
         return started.node()
                 .metrics()
                 .format()
