--- a/node/src/main/java/tansypass/node/lifecycle/ArrivalEstimator.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ArrivalEstimator.java
@@ -70,7 +70,7 @@
         if (pollTimeoutNs == 0 || waitedNs < MIN_WAIT_NS) {
             return previousPollEndNs;
         }
-        // A wait beyond its timeout means that the thread was resumed late. The poll may have ended at the timeout.
+        // After its timeout, the thread was resumed late: the input may have arrived at any time since the timeout.
         return pollEndNs - Math.max(0, waitedNs - pollTimeoutNs);
     }
 }
--- a/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
+++ b/node/src/main/java/tansypass/node/lifecycle/PollTimingIoHandler.java
@@ -32,10 +32,7 @@
         super.initialize();
     }
 
-    /**
-     * Reports the calls that the handler makes to its context: it asks for its poll's timeout first, and later tells
-     * that the poll has ended.
-     */
+    /** Reports to the estimator when the handler calls its context: for the timeout of a poll, and after the poll. */
     private static final class TimingContext extends ForwardingContext {
         private final ArrivalEstimator estimator;
 
--- a/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
@@ -14,15 +14,17 @@
  * distributes new connections among them.
  */
 public final class ReusePortServerChannel extends NioServerSocketChannel {
-    /** The attribute of an accepted connection that has its wait in the kernel's accept queue. */
+    /**
+     * The attribute of an accepted connection that tells how long it may have waited in the kernel's accept queue.
+     */
     public static final AttributeKey<AcceptQueueWait> ACCEPT_QUEUE_WAIT = AttributeKey.valueOf("acceptQueueWait");
 
     private static final long DEREGISTRATION_POLL_INTERVAL_MS = 1;
 
     /** Whether connections may be waiting in the accept queue because of a pause. */
-    private boolean mayHaveQueued;
+    private boolean mayHaveQueuedConnections;
 
-    /** The start of the pause since which they may be waiting, by {@link System#nanoTime}. */
+    /** The start of the pause because of which connections may be waiting, by {@link System#nanoTime}. */
     private long queuedSinceNs;
 
     /**
@@ -57,16 +59,16 @@
 
     /** Pauses accepting. New connections wait in the kernel's accept queue. */
     public void pause() {
-        if (!mayHaveQueued) {
-            mayHaveQueued = true;
+        if (!mayHaveQueuedConnections) {
+            mayHaveQueuedConnections = true;
             queuedSinceNs = System.nanoTime();
         }
         config().setAutoRead(false);
     }
 
     /**
-     * Resumes accepting. The queued connections are accepted at once, because connections that arrive later did not
-     * wait for the end of the pause.
+     * Resumes accepting, and accepts the queued connections at once. Connections that arrive later are then not taken
+     * for ones that waited during the pause.
      */
     public void resume() {
         config().setAutoRead(true);
@@ -92,11 +94,11 @@
         int countBefore = accepted.size();
         int count = super.doReadMessages(accepted);
         if (count == 0) {
-            mayHaveQueued = false;
+            mayHaveQueuedConnections = false;
             return count;
         }
         AcceptQueueWait wait = new AcceptQueueWait(
-                mayHaveQueued ? queuedSinceNs : ArrivalEstimator.earliestArrivalNs(), System.nanoTime());
+                mayHaveQueuedConnections ? queuedSinceNs : ArrivalEstimator.earliestArrivalNs(), System.nanoTime());
         for (Object channel : accepted.subList(countBefore, accepted.size())) {
             ((Channel) channel).attr(ACCEPT_QUEUE_WAIT).set(wait);
         }
--- a/node/src/main/java/tansypass/node/process/NodeProcess.java
+++ b/node/src/main/java/tansypass/node/process/NodeProcess.java
@@ -103,7 +103,7 @@
     /**
      * Formats a log record that is not printed, so that all files needed for a log line have been read, above all the
      * one with the time zones. Once descriptors have run out these files can't be opened, and the error thrown by the
-     * logger would end the event loop that was writing a log line. The first log line takes this time in any case.
+     * logger would end the event loop that writes the log line. The first log line takes this time in any case.
      */
     private static void loadLogClasses() {
         LogRecord record = new LogRecord(Level.INFO, "");
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -107,8 +107,8 @@
      * Applies the endpoint list of the configuration, warms up, and then listens on the clients' address.
      *
      * @param warmUpRequests the number of requests of the warm-up
-     * @return a promise of the listening channel, which fails if the node can't listen and is cancelled if it was
-     *     stopped before
+     * @return a promise of the listening channel, which fails if the node can't listen and is cancelled if the
+     *     node is stopped before that
      */
     public Promise<Channel> start(EventLoopGroup group, int warmUpRequests) {
         Promise<Channel> ready = loop.newPromise();
