--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -69,8 +69,10 @@
         return watch;
     }
 
-    private void assertFailsOnce() throws Exception {
-        FakePeer.awaitNext(failures);
+    /** Asserts that the watch fails once, for a reason that starts with the text, which operators see in the log. */
+    private void assertFailsOnce(String reason) throws Exception {
+        String failure = FakePeer.awaitNext(failures);
+        assertTrue(failure.startsWith(reason), failure);
         FakePeer.awaitNext(peer.ended);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "reported twice");
@@ -112,7 +114,7 @@
             Fixture.writeWatchLine(socket, message.replace('\'', '"'));
         });
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce(message.endsWith(",") ? "message timeout" : "malformed message: ");
         assertTrue(lists.isEmpty());
     }
 
@@ -123,21 +125,31 @@
             FakePeer.RESET.run(socket, request);
         });
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce("connection failed: ");
+    }
+
+    @Test
+    void aResponseThatEndsFailsTheWatch() throws Exception {
+        peer.setScript(FakePeer.CLOSE);
+        subscribe(20_000);
+        assertFailsOnce("connection closed");
+        peer.setScript(FakePeer.respondWith("200 OK", "", ""));
+        subscribe(20_000);
+        assertFailsOnce("response ended");
     }
 
     @Test
     void anErrorStatusFailsTheWatch() throws Exception {
         peer.setScript(FakePeer.respondWith("503 Later", "", "busy"));
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce("unexpected response status 503 Later");
     }
 
     @Test
     void anIdleWatchFails() throws Exception {
         peer.setScript((socket, request) -> Fixture.beginWatch(socket));
         subscribe(200);
-        assertFailsOnce();
+        assertFailsOnce("idle timeout");
     }
 
     @Test
@@ -146,7 +158,8 @@
             port = unused.getLocalPort();
         }
         subscribe(20_000);
-        FakePeer.awaitNext(failures);
+        String failure = FakePeer.awaitNext(failures);
+        assertTrue(failure.startsWith("connection failed: "), failure);
     }
 
     @Test
