--- a/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
+++ b/node/src/main/java/tansypass/node/discovery/EndpointWatch.java
@@ -8,32 +8,32 @@
 import tansypass.node.endpoint.EndpointList;
 
 /**
- * The watch on the endpoint list: decides when to subscribe to the discovery agent, from which revision on, and how
- * long to wait for its response. There is at most one {@link EndpointWatchConnection} at a time; its failure is
- * reported once. It owns the timer of the next subscription. All methods have to be called on its event loop, which
- * also runs the listener.
+ * The watch on the endpoint list. It subscribes to the discovery agent, decides from which revision on and how long to
+ * wait for the response, and owns the timer of the next subscription. It has at most one
+ * {@link EndpointWatchConnection} at a time, whose failure it reports once. All methods must be called on its event
+ * loop, on which the listener is called too.
  */
 public final class EndpointWatch {
     /**
-     * How long a watch may stay idle, in milliseconds. The agent sends a line every 2 s, and a drain that an idle watch
-     * missed takes effect 6 s after its last line: this is short enough to detect two such watches in a row and open a
-     * third one before that. Bytes that do not complete a line do not count as activity.
+     * The time without a complete line after which a watch fails, in milliseconds. The agent sends a line every 2 s. If
+     * a stalled watch misses the start of a drain, the drain takes effect 6 s after the last line; the timeout is short
+     * enough for two stalled watches in a row to fail and a third one to be opened before that.
      */
     public static final long IDLE_TIMEOUT_MS = 2_500;
     /**
-     * Where nodes poll the endpoint list, discovery is one service for all of them that queues their requests. A
-     * request that times out loses its place in the queue and is sent again: with a fixed timeout below the queueing
-     * time no node would ever get a response. So each consecutive request without a response extends the timeout of
-     * the next one by this.
+     * The extension of the response timeout for each consecutive request that has timed out without a response. It
+     * applies where nodes poll the endpoint list: discovery is then one service that queues the requests of all nodes.
+     * A request that times out loses its place in the queue and is sent again; with a fixed timeout below the queueing
+     * time, no node would ever get a response.
      */
-    private static final long QUEUEING_EXTENSION_MS = 750;
+    private static final long TIMEOUT_EXTENSION_MS = 750;
 
     /** Receives the events of a watch, on its event loop. */
     public interface Listener {
-        /** Called for each event, in the order of the stream. */
+        /** Called for each event, in the order of arrival. */
         void onEndpointList(EndpointList list);
 
-        /** Called once when the watch could not be opened or has ended; nothing is retried by itself. */
+        /** Called once when the watch could not be opened or has ended. It does not subscribe again by itself. */
         void onWatchFailed(String reason);
     }
 
@@ -43,22 +43,22 @@
     private final boolean requestsMayQueue;
     private InetSocketAddress address;
     private long revision;
-    /** Null while there is none. */
+    /** The open connection, or null. */
     private EndpointWatchConnection connection;
 
     private boolean subscribed;
-    /** Consecutive requests that timed out without a response. */
+    /** The number of consecutive requests that timed out without a response. */
     private int unansweredRequests;
 
-    private ScheduledFuture<?> retry;
+    private ScheduledFuture<?> subscriptionTimer;
 
     /**
      * Creates a watch that is not open yet.
      *
-     * @param address of the discovery agent, or null if there is none: then the endpoint list never changes
+     * @param address the address of the discovery agent; null if there is none, and the endpoint list never changes
      * @param revision the revision of the endpoint list that is known already
-     * @param idleTimeoutMs how long an open watch may stay idle, in milliseconds
-     * @param requestsMayQueue whether discovery may queue a request, because nodes poll it
+     * @param idleTimeoutMs the time without a complete line after which a watch fails, in milliseconds
+     * @param requestsMayQueue whether discovery may queue requests, because nodes poll it
      */
     public EndpointWatch(
             EventLoop loop,
@@ -75,7 +75,7 @@
         this.listener = listener;
     }
 
-    /** Opens a watch from the latest known revision on; replaces one that is still open. */
+    /** Opens a watch from the latest known revision on. Replaces a watch that is still open. */
     public void subscribe() {
         close();
         subscribed = true;
@@ -89,10 +89,10 @@
     /** Closes the watch and subscribes again after a delay, unless {@link #subscribe} is called earlier. */
     public void subscribeAfter(long delayMs) {
         close();
-        retry = loop.schedule(this::subscribe, delayMs, TimeUnit.MILLISECONDS);
+        subscriptionTimer = loop.schedule(this::subscribe, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Changes the agent's address, null for none; a watch that was subscribed is reopened there at once. */
+    /** Changes the agent's address, null for none. If the watch has been subscribed before, it is reopened at once. */
     public void changeAddress(InetSocketAddress newAddress) {
         if (!Objects.equals(newAddress, address)) {
             address = newAddress;
@@ -102,11 +102,11 @@
         }
     }
 
-    /** Closes the watch and cancels a pending subscription; the listener is not called. */
+    /** Closes the watch and cancels a pending subscription. The listener is not called. */
     public void close() {
-        if (retry != null) {
-            retry.cancel(false);
-            retry = null;
+        if (subscriptionTimer != null) {
+            subscriptionTimer.cancel(false);
+            subscriptionTimer = null;
         }
         if (connection != null) {
             connection.close();
@@ -115,11 +115,11 @@
     }
 
     private long responseTimeoutMs() {
-        long extensionMs = requestsMayQueue ? unansweredRequests * QUEUEING_EXTENSION_MS : 0;
+        long extensionMs = requestsMayQueue ? unansweredRequests * TIMEOUT_EXTENSION_MS : 0;
         return Math.min(idleTimeoutMs, EndpointWatchConnection.RESPONSE_TIMEOUT_MS + extensionMs);
     }
 
-    /** Follows the one connection that is open. */
+    /** Receives the events of the open connection. */
     private final class ConnectionListener implements EndpointWatchConnection.Listener {
         @Override
         public void onResponseStarted() {
--- a/node/src/main/java/tansypass/node/discovery/EndpointWatchConnection.java
+++ b/node/src/main/java/tansypass/node/discovery/EndpointWatchConnection.java
@@ -33,15 +33,15 @@
 
 /**
  * One connection of the watch: a request to the discovery agent and its response, which stays open and carries events.
- * It fails once at most, and never after {@link #close}. It owns the channel and the timers of the response. Used on
- * the event loop only.
+ * It reports at most one failure, and none after {@link #close}. It owns the channel and the timers of the response.
+ * Used on the event loop only.
  */
 final class EndpointWatchConnection extends ChannelInboundHandlerAdapter {
-    /** The agent runs on this machine: a response head, or the remainder of a message, arrives within this time. */
+    /** The timeout of the response's head and of the remainder of a message. The agent runs on the same machine. */
     static final long RESPONSE_TIMEOUT_MS = 1_000;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** Enough for some thousand endpoints; a longer message is malformed. */
+    /** Sufficient for several thousand endpoints. A longer message is treated as malformed. */
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
     private static final int MAX_LINE_BYTES = 4_096;
@@ -49,16 +49,16 @@
 
     /** Receives the events of a connection, on its event loop. */
     interface Listener {
-        /** Called when the head of the response has been received. */
+        /** Called when the response's head has been received. */
         void onResponseStarted();
 
-        /** Called when the head of the response has not been received in time, before {@link #onFailed}. */
+        /** Called before {@link #onFailed} if the response's head has not been received in time. */
         void onResponseTimeout();
 
-        /** Called for each event, in the order of the response. */
+        /** Called for each event, in the order of arrival. */
         void onEndpointList(EndpointList list);
 
-        /** Called once when the connection could not be opened or has ended; it is closed by then. */
+        /** Called once when the connection could not be opened or has ended. The connection is already closed. */
         void onFailed(String reason);
     }
 
@@ -68,7 +68,7 @@
     private final long idleTimeoutMs;
     private final long responseTimeoutMs;
     private final Listener listener;
-    private final ByteBuf received = Unpooled.buffer();
+    private final ByteBuf receivedBytes = Unpooled.buffer();
     private final JsonObjectFramer framer = new JsonObjectFramer();
     private Channel channel;
     private ScheduledFuture<?> idleTimer;
@@ -78,9 +78,9 @@
     /**
      * Creates a connection that is not open yet.
      *
-     * @param revision the agent sends the changes after this one
-     * @param idleTimeoutMs how long the response may stay without a complete line, in milliseconds
-     * @param responseTimeoutMs how long the head of the response is waited for, in milliseconds
+     * @param revision the agent sends the changes after this revision of the endpoint list
+     * @param idleTimeoutMs the time without a complete line after which the connection fails, in milliseconds
+     * @param responseTimeoutMs the time to wait for the response's head, in milliseconds
      */
     EndpointWatchConnection(
             EventLoop loop,
@@ -97,7 +97,7 @@
         this.listener = listener;
     }
 
-    /** Connects and sends the request; a failure is reported after this has returned. */
+    /** Connects and sends the request. A failure is reported after this method has returned. */
     void open() {
         idleTimer = failAfter(idleTimeoutMs, "idle timeout");
         responseTimer = loop.schedule(this::failUnanswered, responseTimeoutMs, TimeUnit.MILLISECONDS);
@@ -105,8 +105,8 @@
         try {
             newChannel = new NioSocketChannel();
         } catch (ChannelException e) {
-            // Out of descriptors: handled like a failed connection. Deferred, since the decision module may be
-            // running.
+            // No descriptor is left. This is reported like a failed connection, but only after the current task of the
+            // event loop, because this method may have been called by the load balancer.
             loop.execute(() -> fail("socket not opened: " + e.getCause()));
             return;
         }
@@ -152,7 +152,7 @@
         channel.writeAndFlush(request);
     }
 
-    /** Closes the connection; the listener is not called any more. */
+    /** Closes the connection. The listener is not called any more. */
     void close() {
         closed = true;
         idleTimer.cancel(false);
@@ -208,15 +208,16 @@
         }
     }
 
-    /** Parses all complete messages and sets a time limit on the remainder of an incomplete one. */
+    /** Delivers all complete messages, and starts a timeout for the remainder of an incomplete one. */
     private void parseMessages(ByteBuf content) throws MalformedWatchEventException {
-        received.writeBytes(content);
+        receivedBytes.writeBytes(content);
         boolean continuesMessage = framer.isInMessage();
-        while (!closed && framer.findNext(received)) {
+        while (!closed && framer.findNext(receivedBytes)) {
             restartIdleTimer();
             continuesMessage = false;
-            if (framer.messageLength() > 0) {
-                deliver(received.readCharSequence(framer.messageLength(), StandardCharsets.UTF_8)
+            if (framer.messageLengthBytes() > 0) {
+                deliver(receivedBytes
+                        .readCharSequence(framer.messageLengthBytes(), StandardCharsets.UTF_8)
                         .toString());
             }
         }
@@ -226,8 +227,8 @@
         if (!continuesMessage && framer.isInMessage() && !closed) {
             responseTimer = failAfter(Math.min(idleTimeoutMs, RESPONSE_TIMEOUT_MS), "message timeout");
         }
-        received.discardSomeReadBytes();
-        if (received.readableBytes() > MAX_MESSAGE_BYTES) {
+        receivedBytes.discardSomeReadBytes();
+        if (receivedBytes.readableBytes() > MAX_MESSAGE_BYTES) {
             throw new MalformedWatchEventException("longer than " + MAX_MESSAGE_BYTES + " bytes");
         }
     }
--- a/node/src/main/java/tansypass/node/discovery/ExponentialBackoff.java
+++ b/node/src/main/java/tansypass/node/discovery/ExponentialBackoff.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Delays between retries: doubled with each retry up to a maximum, and jittered so that nodes which failed together do
- * not retry together. Not thread-safe.
+ * Computes delays between retries. The delay doubles with each retry up to a maximum. It has random jitter, so that
+ * nodes that failed at the same time do not retry at the same time. Not thread-safe.
  */
 public final class ExponentialBackoff {
     private final SplittableRandom random;
@@ -15,7 +15,7 @@
     /**
      * Creates a backoff that starts at its initial delay.
      *
-     * @param seed of the jitter
+     * @param seed the seed of the jitter's random numbers
      * @param initialDelayMs the first delay before jitter, in milliseconds
      * @param maxDelayMs the longest delay before jitter, in milliseconds
      */
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Returns the delay before the next retry and doubles the one after it.
+     * Returns the delay before the next retry, and doubles the current delay.
      *
-     * @return milliseconds, uniform between 0.5 and 1.5 times the current delay
+     * @return the delay in milliseconds, uniformly distributed between 0.5 and 1.5 times the current delay
      */
     public long nextDelayMs() {
         long delayMs = currentDelayMs / 2 + random.nextLong(currentDelayMs + 1);
@@ -37,7 +37,7 @@
         return delayMs;
     }
 
-    /** Starts over from the initial delay; to be called after a success. */
+    /** Resets the current delay to the initial delay. Must be called after a success. */
     public void reset() {
         currentDelayMs = initialDelayMs;
     }
--- a/node/src/main/java/tansypass/node/discovery/JsonObjectFramer.java
+++ b/node/src/main/java/tansypass/node/discovery/JsonObjectFramer.java
@@ -3,39 +3,41 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Splits the body of a watch into messages: JSON objects, each on one line or indented over several lines, with empty
- * lines between them. Each byte is examined once. It balances brackets and quotes only; whether an object is
- * well-formed JSON is left to the parser. Not thread-safe.
+ * Splits the body of a watch's response into messages. A message is a JSON object on one line, or indented over several
+ * lines; there may be empty lines between messages. The framer examines each byte once and only matches brackets and
+ * quotes; the parser checks that an object is well-formed JSON. Not thread-safe.
  */
 final class JsonObjectFramer {
-    /** Bytes already examined, counted from the buffer's reader index. */
+    /** The number of bytes after the buffer's reader index that have been examined already. */
     private int examinedBytes;
 
-    private int depth;
+    /** The number of open brackets and braces; 0 between messages. */
+    private int nestingDepth;
+
     private boolean inString;
     private boolean escaped;
-    private int messageLength;
+    private int messageLengthBytes;
 
     /**
-     * Examines bytes up to the next line end between messages, or the next end of a message. In the first case the
-     * reader index is moved past that line and {@link #messageLength} is 0; in the second it stands at the start of
-     * the message, which the caller has to read.
+     * Examines bytes up to the next end of a message, or the next line end between messages. At the end of a message,
+     * the reader index is at the start of the message, which the caller must read. At a line end, the reader index is
+     * after the line and {@link #messageLengthBytes} is 0.
      *
-     * @return whether a line or a message was completed
+     * @return whether the end of a message or of a line was found
      * @throws MalformedWatchEventException if a message does not start with a brace
      */
     boolean findNext(ByteBuf buffer) throws MalformedWatchEventException {
         while (examinedBytes < buffer.readableBytes()) {
             byte b = buffer.getByte(buffer.readerIndex() + examinedBytes++);
-            if (depth > 0) {
+            if (nestingDepth > 0) {
                 examineInMessage(b);
-                if (depth == 0) {
-                    messageLength = examinedBytes;
+                if (nestingDepth == 0) {
+                    messageLengthBytes = examinedBytes;
                     examinedBytes = 0;
                     return true;
                 }
             } else if (b == '{') {
-                depth = 1;
+                nestingDepth = 1;
             } else {
                 skipWhitespace(buffer, b);
                 if (b == '\n') {
@@ -46,14 +48,14 @@
         return false;
     }
 
-    /** Returns the length in bytes of the message that was found, or 0 after an empty line. */
-    int messageLength() {
-        return messageLength;
+    /** Returns the length of the message that was found, or 0 if an empty line was found. */
+    int messageLengthBytes() {
+        return messageLengthBytes;
     }
 
-    /** Returns whether a message has started and not ended. */
+    /** Returns whether a message has started that has not ended. */
     boolean isInMessage() {
-        return depth > 0;
+        return nestingDepth > 0;
     }
 
     private void skipWhitespace(ByteBuf buffer, byte b) throws MalformedWatchEventException {
@@ -62,7 +64,7 @@
         }
         buffer.skipBytes(examinedBytes);
         examinedBytes = 0;
-        messageLength = 0;
+        messageLengthBytes = 0;
     }
 
     private void examineInMessage(byte b) {
@@ -72,9 +74,9 @@
         } else if (b == '"') {
             inString = true;
         } else if (b == '{' || b == '[') {
-            depth++;
+            nestingDepth++;
         } else if (b == '}' || b == ']') {
-            depth--;
+            nestingDepth--;
         }
     }
 }
--- a/node/src/main/java/tansypass/node/discovery/MalformedWatchEventException.java
+++ b/node/src/main/java/tansypass/node/discovery/MalformedWatchEventException.java
@@ -1,6 +1,6 @@
 package tansypass.node.discovery;
 
-/** The discovery agent has sent a message that is not a valid watch event; the message names what is malformed. */
+/** Thrown if the discovery agent has sent an invalid watch event. The exception's message says what is invalid. */
 final class MalformedWatchEventException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/tansypass/node/discovery/package-info.java
+++ b/node/src/main/java/tansypass/node/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Service discovery: the watch on the endpoint list that the local discovery agent serves, and the parsing of its
+ * Service discovery: the watch on the endpoint list of the local discovery agent, and the parsing of the agent's
  * messages. {@link tansypass.node.discovery.EndpointWatch} runs on the node's event loop and reports to a listener.
  */
 package tansypass.node.discovery;
--- a/node/src/main/java/tansypass/node/request/HealthProbe.java
+++ b/node/src/main/java/tansypass/node/request/HealthProbe.java
@@ -14,7 +14,7 @@
 import tansypass.node.upstream.UpstreamAttempt;
 import tansypass.node.upstream.UpstreamConnectionPool;
 
-/** One health check of a server, whose result is reported to the decision module. Used on the event loop only. */
+/** One health check of a server. Its result is reported to the load balancer. Used on the event loop only. */
 final class HealthProbe implements AttemptHandler {
     private static final long TIMEOUT_US = 250_000;
     private static final String PATH = "/health";
@@ -32,7 +32,7 @@
         this.serverId = serverId;
     }
 
-    /** Sends the probe; its end may be reported before this returns. */
+    /** Sends the probe. Its result may be reported before this method returns. */
     void start(UpstreamConnectionPool pool) {
         sentUs = balancer.nowUs();
         timer = balancer.scheduleAt(sentUs + TIMEOUT_US, () -> attempt.abort(AttemptResult.TIMEOUT));
--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -19,12 +19,12 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
- * A client's request from its arrival until its response has been sent and none of its attempts is in flight. It
- * owns the timer of its deadline, which {@link RelayDeadline} replaces once a response is being relayed. Used on the
+ * A client's request, from its arrival until it has ended and none of its attempts is in flight. It owns the timer of
+ * the client's deadline; once a response is being relayed, a {@link RelayDeadline} replaces that timer. Used on the
  * event loop only.
  */
 final class InFlightRequest implements RequestAttempt.Listener, RelayDeadline.Listener {
-    /** Is notified when a request is complete. */
+    /** Receives the completion of requests. */
     interface CompletionListener {
         /** Called when the request has ended and none of its attempts is in flight; may be called again. */
         void onRequestComplete(InFlightRequest request);
@@ -32,10 +32,10 @@
 
     private static final Logger LOG = System.getLogger(InFlightRequest.class.getName());
 
-    /** How much earlier than the client's the module's deadline is, or this fraction of the remaining time if that is
-     * less: for the response to reach the client, for late timers, and for a processor busy just after a start. */
+    /** The time by which the load balancer's deadline precedes the client's. It covers the way of the response to the
+     * client, late timers, and a processor that is busy just after a start. */
     private static final long DEADLINE_MARGIN_US = 25_000;
-
+    /** Bounds the margin of a request with little time left: to the remaining time divided by this number. */
     private static final int DEADLINE_MARGIN_DIVISOR = 8;
 
     private final Exchange exchange;
@@ -44,16 +44,16 @@
     private final BalancerExecutor balancer;
     private final NodeMetrics metrics;
     private final List<RequestAttempt> attempts = new ArrayList<>(2);
-    /** The module's deadline, a time of its clock in microseconds; Long.MAX_VALUE until the body is complete. */
+    /** The load balancer's deadline on its clock, in microseconds; Long.MAX_VALUE until the body is complete. */
     private long deadlineUs = Long.MAX_VALUE;
 
     private ScheduledFuture<?> deadlineTimer;
     private int attemptsInFlight;
     private boolean ended;
-    /** Replaces the timer of the deadline once a response is being relayed; null before that. */
+    /** The deadline of the response that is being relayed; null until a response has started. */
     private RelayDeadline relayDeadline;
 
-    /** Creates a request that the module does not know yet. */
+    /** Creates a request that has not been passed to the load balancer. */
     InFlightRequest(
             Exchange exchange, CompletionListener completionListener, BalancerExecutor balancer, NodeMetrics metrics) {
         this.exchange = exchange;
@@ -63,7 +63,7 @@
         this.metrics = metrics;
     }
 
-    /** Returns the id that the client gave it, unique among the requests in flight. */
+    /** Returns the id that the client gave the request; it is unique among the requests in flight. */
     long id() {
         return id;
     }
@@ -82,7 +82,7 @@
         fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
     }
 
-    /** Passes the request to the module, even while its body is still being received. */
+    /** Passes the request to the load balancer, which may be before its body has been received completely. */
     void start() {
         exchange.setDisconnectListener(this::onClientDisconnect);
         if (exchange.isComplete()) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Sets the deadlines, which count from the arrival of the last byte. */
+    /** Sets the deadlines of the client and of the load balancer, both relative to the arrival of the last byte. */
     private void startDeadline() {
         long arrivedUs = balancer.toUs(exchange.arrivedNs());
         long remainingUs = clientRequest().remainingUs();
@@ -117,7 +117,7 @@
                 request.retry());
     }
 
-    /** Called at the last byte of a request that was passed to the module while it was being received. */
+    /** Called at the last byte, if the request was passed to the load balancer before its body was complete. */
     private void onUploadCompleted() {
         startDeadline();
         attempts.forEach(RequestAttempt::restartLatency);
@@ -133,38 +133,39 @@
             metrics.recordAbandoned();
         }
         end();
-        notifyClientDisconnect();
+        notifyResponseNotNeeded();
     }
 
-    /** Notifies the module that the request needs no response any more, for whatever reason. */
-    private void notifyClientDisconnect() {
+    /** Notifies the load balancer that the request needs no response any more, as after a disconnect of its client. */
+    private void notifyResponseNotNeeded() {
         balancer.execute(this, b -> b.onClientDisconnect(balancer.nowUs(), id));
     }
 
-    /** The last safeguard: the module has not responded in time, and no request may remain without a response. */
+    /** Responds with an error if the load balancer has not responded by the client's deadline. This is the last
+     * safeguard against a request without a response. */
     private void onDeadlineExceeded() {
         if (!ended) {
             LOG.log(
                     Level.WARNING,
                     LogEvent.REQUEST_DEADLINE_EXCEEDED.line(HexFormat.of().toHexDigits(id)));
             fail(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
-            notifyClientDisconnect();
+            notifyResponseNotNeeded();
         }
     }
 
-    /** Responds with an error if no response has started when the node has to stop. */
+    /** Responds with an error, because the node is stopping, unless a response has started. */
     void failIfUnanswered() {
         if (!ended && !exchange.isAnswered()) {
             fail(HttpResponseStatus.GATEWAY_TIMEOUT, "stopping");
-            notifyClientDisconnect();
+            notifyResponseNotNeeded();
         }
     }
 
     /**
-     * Sends the next attempt, or ends it as NOT_SENT if the request has ended, its deadline has passed or its body
+     * Sends the next attempt. The attempt ends as NOT_SENT if the request has ended, a deadline has passed or the body
      * is no longer replayable.
      *
-     * @param attemptDeadlineUs on the module's clock, in microseconds; 0 or less for the request's deadline
+     * @param attemptDeadlineUs on the load balancer's clock, in microseconds; 0 or less for the request's deadline
      */
     void sendAttempt(UpstreamConnectionPool pool, String serverId, long attemptDeadlineUs) {
         long nowUs = balancer.nowUs();
@@ -180,9 +181,10 @@
     }
 
     /**
-     * Sets the deadline of an attempt, at the latest that of the request; no effect unless the attempt is in flight.
+     * Sets the deadline of an attempt, bounded by the deadline of the request. Has no effect unless the attempt is in
+     * flight.
      *
-     * @param attemptDeadlineUs on the module's clock, in microseconds
+     * @param attemptDeadlineUs on the load balancer's clock, in microseconds
      */
     void setAttemptDeadline(int attempt, long attemptDeadlineUs) {
         if (isInFlight(attempt)) {
@@ -190,7 +192,7 @@
         }
     }
 
-    /** Aborts an attempt on the module's behalf; no effect unless the attempt is in flight. */
+    /** Aborts an attempt that the load balancer cancels. Has no effect unless the attempt is in flight. */
     void cancelAttempt(int attempt) {
         if (isInFlight(attempt)) {
             attempts.get(attempt).cancel();
@@ -224,10 +226,10 @@
     public void onResponseTooSlow() {
         exchange.abort();
         end();
-        notifyClientDisconnect();
+        notifyResponseNotNeeded();
     }
 
-    /** Counts an attempt as ended, and ends the request if the attempt has ended with its response. */
+    /** Counts an attempt as ended, and ends the request if the attempt succeeded or its response was being relayed. */
     @Override
     public void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed) {
         attemptsInFlight--;
@@ -239,10 +241,14 @@
             }
             end();
         }
-        removeIfComplete();
+        notifyIfComplete();
     }
 
-    /** Responds that the request was not executed and may be retried; a time of 0 microseconds gives no advice. */
+    /**
+     * Responds that the request was not executed and may be retried. Has no effect if the request has ended.
+     *
+     * @param retryAfterUs microseconds after which the client should retry; 0 sends no such advice
+     */
     void reject(long retryAfterUs) {
         if (!ended) {
             exchange.reject(retryAfterUs);
@@ -250,7 +256,7 @@
         }
     }
 
-    /** Responds with an error, unless the request has ended. */
+    /** Responds with an error. Has no effect if the request has ended. */
     void fail(HttpResponseStatus status, String reason) {
         if (!ended) {
             exchange.fail(status, reason);
@@ -258,14 +264,14 @@
         }
     }
 
-    /** Ends the request: it needs no response any more, and attempts that wait for a connection are not sent. */
+    /** Ends the request, which needs no response any more. Attempts that still wait for a connection are not sent. */
     void end() {
         ended = true;
         cancelDeadlineTimers();
         for (RequestAttempt attempt : new ArrayList<>(attempts)) {
             attempt.abortIfWaiting();
         }
-        removeIfComplete();
+        notifyIfComplete();
     }
 
     private void cancelDeadlineTimers() {
@@ -277,7 +283,7 @@
         }
     }
 
-    private void removeIfComplete() {
+    private void notifyIfComplete() {
         if (ended && attemptsInFlight == 0) {
             completionListener.onRequestComplete(this);
         }
--- a/node/src/main/java/tansypass/node/request/RelayDeadline.java
+++ b/node/src/main/java/tansypass/node/request/RelayDeadline.java
@@ -7,19 +7,19 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
- * The deadline of a response that is being relayed. A response that may still turn out to be short has to be complete
- * by the request's deadline, like any short one. It may continue after that if it is long, or may turn out to be, and
- * its rate is sufficient: without a lowest rate it might never end. It owns the timer. Used on the event loop only.
+ * The deadline of a response that is being relayed. A response may continue past the request's deadline if it is long,
+ * or if its length is unknown and parts of it still arrive. From then on its rate is measured: a response that is too
+ * slow is aborted, because otherwise it might never end. Owns the timer of the deadline. Used on the event loop only.
  */
 final class RelayDeadline implements Runnable {
-    /** A response past its deadline is still being received if some of it arrived within this time. */
-    private static final long RESPONSE_SILENCE_MS = 250;
-    /** The interval over which the rate of a long response is measured: as long as a server may pause in it. */
-    private static final long RESPONSE_RATE_WINDOW_MS = UpstreamConnectionPool.STALL_TIMEOUT_MS;
+    /** A response counts as still arriving at its deadline if a part of it was received within this time. */
+    private static final long MAX_SILENCE_MS = 250;
+    /** The interval over which the rate of a long response is measured. A server may pause for as long as this. */
+    private static final long RATE_WINDOW_MS = UpstreamConnectionPool.STALL_TIMEOUT_MS;
 
-    /** Is notified when the response has to be aborted. */
+    /** Receives the order to abort the response. */
     interface Listener {
-        /** Called once, when the response is incomplete at its deadline and too slow or too long to continue. */
+        /** Called once, if the response is incomplete at or after its deadline and too slow or too long to continue. */
         void onResponseTooSlow();
     }
 
@@ -27,7 +27,7 @@
     private final BalancerExecutor balancer;
     private final Listener listener;
     private ScheduledFuture<?> timer;
-    /** Whether the response is still being relayed after the deadline. */
+    /** True once the deadline has passed and the response may continue. */
     private boolean deadlinePassed;
 
     /** Creates a deadline that has not started. */
@@ -37,17 +37,21 @@
         this.listener = listener;
     }
 
-    /** Starts the timer, for a response that has started; the time is one of the module's clock in microseconds. */
+    /**
+     * Starts the timer for a response that has started.
+     *
+     * @param deadlineUs on the load balancer's clock, in microseconds
+     */
     void start(long deadlineUs) {
         timer = balancer.scheduleAt(deadlineUs, this);
     }
 
-    /** Stops the timer: the response is complete, or not needed any more. */
+    /** Stops the timer, because the response is complete or no longer needed. */
     void cancel() {
         timer.cancel(false);
     }
 
-    /** Called by the timer while the response is incomplete. */
+    /** Called by the timer, which runs only while the response is incomplete. */
     @Override
     public void run() {
         if (isResponseTooSlow()) {
@@ -58,14 +62,13 @@
             deadlinePassed = true;
             exchange.startRateMeasurement();
         }
-        timer = balancer.scheduleIn(exchange.isLongResponse() ? RESPONSE_RATE_WINDOW_MS : RESPONSE_SILENCE_MS, this);
+        timer = balancer.scheduleIn(exchange.isLongResponse() ? RATE_WINDOW_MS : MAX_SILENCE_MS, this);
     }
 
     private boolean isResponseTooSlow() {
         if (deadlinePassed) {
             return exchange.isResponseTooSlowOrTooLong();
         }
-        return !exchange.isLongResponse()
-                && exchange.responseIdleNs() >= TimeUnit.MILLISECONDS.toNanos(RESPONSE_SILENCE_MS);
+        return !exchange.isLongResponse() && exchange.responseIdleNs() >= TimeUnit.MILLISECONDS.toNanos(MAX_SILENCE_MS);
     }
 }
--- a/node/src/main/java/tansypass/node/request/RequestAttempt.java
+++ b/node/src/main/java/tansypass/node/request/RequestAttempt.java
@@ -14,30 +14,31 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
- * One attempt of a request in flight: its deadline, and the reports on it to the decision module. It owns the
- * timer of that deadline. Used on the event loop only.
+ * One attempt of a request in flight. It enforces the attempt's deadline, whose timer it owns, and reports the
+ * attempt's outcome to the load balancer. Used on the event loop only.
  */
 final class RequestAttempt implements AttemptHandler {
-    /** The request that the attempt belongs to. */
+    /** Receives the events of the attempt; implemented by its request. */
     interface Listener extends BalancerExecutor.FailureListener {
-        /** Returns whether the client has its response or has disconnected. */
+        /** Returns whether the request needs no response any more. */
         boolean hasRequestEnded();
 
         /** Called when the request has been written completely to a server. */
         void onAttemptWritten();
 
         /**
-         * Starts to relay the attempt's response to the client, unless the request has ended.
+         * Starts to relay the attempt's response to the client. Called only if the request has not ended.
          *
-         * @return the sink of the body's parts
+         * @param attempt the number of the attempt
+         * @return the sink for the parts of the body
          */
         ResponseBodySink startResponse(int attempt, String contentType, long length, Runnable whenWritable);
 
         /**
-         * Called once, at the end of the attempt and before the decision module is notified.
+         * Called once, when the attempt ends, before the load balancer is notified.
          *
-         * @param response the response if it was buffered, else null
-         * @param relayed whether the response has been relayed to the client, at least in part
+         * @param response the response, or null if there is none or it was not buffered
+         * @param relayed whether at least a part of the response has been relayed to the client
          */
         void onAttemptEnded(AttemptResult result, UpstreamResponse response, boolean relayed);
     }
@@ -49,7 +50,7 @@
     private long sentUs;
     private long deadlineUs;
     private ScheduledFuture<?> deadlineTimer;
-    /** Null until the attempt is passed to the pool; an attempt that is NOT_SENT never is. */
+    /** Null until the attempt is passed to the pool; stays null if the attempt ends as NOT_SENT before. */
     private UpstreamAttempt upstreamAttempt;
 
     private boolean relaying;
@@ -58,8 +59,8 @@
     /**
      * Creates an attempt that has not been sent.
      *
-     * @param number counts the request's attempts from 0
-     * @param sentUs time of the module's clock, in microseconds
+     * @param number the number of the attempt, counted from 0 for each request
+     * @param sentUs the time from which the latency is measured, on the load balancer's clock, in microseconds
      */
     RequestAttempt(ClientRequest request, Listener listener, BalancerExecutor balancer, int number, long sentUs) {
         this.request = request;
@@ -69,27 +70,27 @@
         this.sentUs = sentUs;
     }
 
-    /** Sends the attempt to a server; its end may be reported before this returns. */
+    /** Sends the attempt to a server. Its end may be reported before this method returns. */
     void start(UpstreamConnectionPool pool, String serverId) {
         upstreamAttempt = pool.startAttempt(serverId, this);
     }
 
-    /** Returns whether its end has been reported. */
+    /** Returns whether the attempt has ended. */
     boolean hasEnded() {
         return ended;
     }
 
-    /** Returns whether it has been given a connection, so that some of it may have reached a server. */
+    /** Returns whether the attempt has been assigned a connection; a part of it may then have reached a server. */
     boolean isDispatched() {
         return upstreamAttempt != null && upstreamAttempt.isDispatched();
     }
 
-    /** Returns the time of the module's clock at which it is aborted, in microseconds; Long.MAX_VALUE for never. */
+    /** Returns the deadline on the load balancer's clock, in microseconds; Long.MAX_VALUE if there is none. */
     long deadlineUs() {
         return deadlineUs;
     }
 
-    /** Sets the deadline, not after that of the request; the attempt is then aborted with TIMEOUT. */
+    /** Sets the deadline, at which the attempt is aborted with TIMEOUT; it must not be after the request's deadline. */
     void setDeadline(long newDeadlineUs) {
         deadlineUs = newDeadlineUs;
         if (deadlineUs < Long.MAX_VALUE) {
@@ -97,17 +98,17 @@
         }
     }
 
-    /** Measures the latency from now on: a server executes a request only when it has its last byte. */
+    /** Restarts the measurement of the latency, because a server executes a request only once it has the last byte. */
     void restartLatency() {
         sentUs = balancer.nowUs();
     }
 
-    /** Aborts the attempt on the module's behalf. */
+    /** Aborts the attempt because the load balancer has cancelled it. */
     void cancel() {
         upstreamAttempt.abort(AttemptResult.CANCELLED);
     }
 
-    /** Aborts the attempt if it still waits for a connection, so that it is not sent. */
+    /** Aborts the attempt before it is sent, if it still waits for a connection. */
     void abortIfWaiting() {
         if (upstreamAttempt != null && !upstreamAttempt.isDispatched()) {
             upstreamAttempt.abort(AttemptResult.NOT_SENT);
@@ -126,7 +127,7 @@
 
     @Override
     public boolean expiresWithConnectTimeout() {
-        // An idempotent request has no deduplication window: its retry may be sent as late as a first attempt.
+        // No deduplication window limits an idempotent request: its retry may be sent as late as a first attempt.
         return number > 0 && !request.isIdempotent();
     }
 
--- a/node/src/main/java/tansypass/node/request/RequestDispatcher.java
+++ b/node/src/main/java/tansypass/node/request/RequestDispatcher.java
@@ -17,8 +17,8 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 
 /**
- * Keeps the requests in flight and carries out the decision module's actions on them. It decides nothing. All
- * methods are to be called on the event loop; the actions are called by the module only.
+ * Holds the requests in flight and executes the load balancer's actions on them; it makes no decision itself. All
+ * methods must be called on the event loop. Only the load balancer calls the methods of {@link LoadBalancerActions}.
  */
 public final class RequestDispatcher implements LoadBalancerActions {
     private static final Logger LOG = System.getLogger(RequestDispatcher.class.getName());
@@ -29,7 +29,7 @@
     private final EndpointListAdapter endpoints;
     private final NodeMetrics metrics;
     private final Map<Long, InFlightRequest> requests = new HashMap<>();
-    /** One for all requests, so that none allocates its own. */
+    /** Shared by all requests, to save an allocation for each. */
     private final InFlightRequest.CompletionListener completionListener = this::remove;
 
     /** Creates a dispatcher without requests. */
@@ -44,7 +44,7 @@
         this.metrics = metrics;
     }
 
-    /** Accepts a client's request; responds 409 to one whose id is in flight already. */
+    /** Accepts a client's request, or responds with status 409 if a request with the same id is in flight. */
     public void accept(Exchange exchange) {
         long id = exchange.request().id();
         if (requests.containsKey(id)) {
@@ -56,7 +56,7 @@
         request.start();
     }
 
-    /** Removes a request that has ended and has no attempt in flight. */
+    /** Removes a request that has ended and has no attempt in flight. A second call for it has no effect. */
     private void remove(InFlightRequest request) {
         requests.remove(request.id(), request);
     }
@@ -66,9 +66,9 @@
         List.copyOf(requests.values()).forEach(InFlightRequest::failIfUnanswered);
     }
 
-    /** Ends all requests without a response. */
+    /** Ends all requests, without sending responses. */
     public void close() {
-        // A copy: a request whose attempt waits for a connection is removed as it ends.
+        // Iterates over a copy, because a request without an attempt in flight is removed from the map when it ends.
         List.copyOf(requests.values()).forEach(InFlightRequest::end);
     }
 
--- a/node/src/main/java/tansypass/node/request/package-info.java
+++ b/node/src/main/java/tansypass/node/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The path of a request between its client and the web servers: the requests in flight, their attempts and deadlines,
- * and the actions that the decision module requests on them. It runs on the node's event loop.
+ * The requests in flight between clients and web servers, with their attempts and deadlines, and the execution of the
+ * load balancer's actions on them. All classes run on the node's event loop.
  */
 package tansypass.node.request;
--- a/node/src/main/java/tansypass/node/upstream/AttemptHandler.java
+++ b/node/src/main/java/tansypass/node/upstream/AttemptHandler.java
@@ -6,26 +6,28 @@
 import tansypass.node.http.ResponseBodySink;
 import tansypass.node.http.UpstreamResponse;
 
-/** Supplies the request of one attempt and receives the attempt's events, all on the event loop. */
+/** Supplies the request of one attempt and receives the events of the attempt. All methods run on the event loop. */
 public interface AttemptHandler {
     /**
-     * Builds the message when it is about to be written: a {@code FullHttpRequest}, or the head alone if
-     * {@link #requestBody} follows it.
+     * Creates the request's message. Called just before the message is written.
+     *
+     * @return a {@code FullHttpRequest}, or only the head if {@link #requestBody} supplies the body
      */
     HttpRequest createMessage();
 
     /**
-     * Returns the body that follows a message that was the head alone.
+     * Returns the body, if {@link #createMessage} returned only the head.
      *
-     * @throws IllegalStateException if the message was complete
+     * @throws IllegalStateException if the message included the body
      */
     default RequestBody requestBody() {
         throw new IllegalStateException("requestBody() called for a complete message");
     }
 
     /**
-     * Returns whether the request must not be sent any more once it has waited for a connection for the connect
-     * timeout: a server's deduplication window allows a retry this delay and no longer one.
+     * Returns whether the request must not be sent once it has waited for a connection as long as the connect timeout.
+     * This is so for a retry that relies on a server's deduplication window: the load balancer starts the retry only if
+     * the window is still open after the connect timeout, and a longer wait could exceed the window.
      */
     default boolean expiresWithConnectTimeout() {
         return false;
@@ -35,21 +37,22 @@
     default void onRequestWritten() {}
 
     /**
-     * Called when a response is too long to be buffered, or of unknown length, and is relayed part by part.
+     * Called when a response starts to be relayed part by part, because it is too long to be buffered or its length is
+     * unknown.
      *
-     * @param contentType as the server gave it, or null
-     * @param length bytes of the body, or -1 if not known yet
-     * @param whenWritable to be run when the sink is writable again after it was not
-     * @return the sink of the body's parts
+     * @param contentType the value of the server's header, or null if there is none
+     * @param length the length of the body in bytes, or -1 if it is not known yet
+     * @param whenWritable must be run when the sink, after it was not writable, is writable again
+     * @return the sink for the parts of the body
      */
     default ResponseBodySink onResponseStarted(String contentType, long length, Runnable whenWritable) {
         return ResponseBodySink.DISCARDING;
     }
 
     /**
-     * Called exactly once, at the end of the attempt.
+     * Called exactly once, when the attempt ends.
      *
-     * @param response present if the result is OK or ERROR and the response was not relayed; else it may be null
+     * @param response not null if the result is OK or ERROR and the response was not relayed; may be null otherwise
      */
     void onAttemptEnded(AttemptResult result, UpstreamResponse response);
 }
--- a/node/src/main/java/tansypass/node/upstream/UnsolicitedDataHandler.java
+++ b/node/src/main/java/tansypass/node/upstream/UnsolicitedDataHandler.java
@@ -5,8 +5,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Closes an idle connection that receives bytes, and discards them. It precedes the codec, where part of a
- * response could otherwise remain and become the head of the next response.
+ * Closes an idle connection that receives bytes, and discards the bytes. The handler precedes the codec, because the
+ * codec could otherwise keep a part of a response and read it as the start of the next one.
  */
 final class UnsolicitedDataHandler extends ChannelInboundHandlerAdapter {
     private final UpstreamConnection connection;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamAttempt.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamAttempt.java
@@ -5,32 +5,32 @@
 import tansypass.balancer.AttemptResult;
 import tansypass.node.http.UpstreamResponse;
 
-/** One request to one server, waiting for a connection or carried by one. Used on the event loop only. */
+/** One request to one server, either waiting for a connection or dispatched on one. Used on the event loop only. */
 public final class UpstreamAttempt {
     private final UpstreamServer server;
     private final AttemptHandler handler;
     private UpstreamConnection connection;
     private ScheduledFuture<?> waitTimeout;
-    /** When its wait times out, by {@link System#nanoTime}. */
+    /** The {@link System#nanoTime} at which the wait for a connection times out. */
     private long waitDeadlineNanos;
 
     private boolean ended;
 
-    /** Creates an attempt; if the server is null, because it is unknown, the attempt can only be ended. */
+    /** Creates an attempt. The server is null if it is unknown; the attempt can then only be ended. */
     UpstreamAttempt(UpstreamServer server, AttemptHandler handler) {
         this.server = server;
         this.handler = handler;
     }
 
-    /** Returns whether it has been given a connection, so that some of it may have reached a server. */
+    /** Returns whether the attempt has been assigned a connection; a part of it may then have reached a server. */
     public boolean isDispatched() {
         return connection != null;
     }
 
     /**
-     * Ends the attempt now, unless it has ended. The result reported is NOT_SENT if it was still waiting for
-     * a connection, CONNECT_FAILED if the request was not written completely and so can't have been executed, and
-     * the given one otherwise.
+     * Ends the attempt now, unless it has ended already. It ends as NOT_SENT if it was still waiting for a connection,
+     * as CONNECT_FAILED if the request was not written completely and therefore cannot have been executed, and with
+     * the given result otherwise.
      */
     public void abort(AttemptResult result) {
         if (ended) {
@@ -46,25 +46,25 @@
     }
 
     /**
-     * Waits for a connection to the server, for as long as one connect may take. A connect serves the first attempt
-     * in the queue, so that without a timeout of its own an attempt whose connect has failed would wait for the
-     * connects of others.
+     * Waits for a connection to the server. Each attempt has its own timeout, because a new connection goes to the
+     * first attempt in the queue: without the timeout, an attempt whose own connect has failed would wait for the
+     * connects of later attempts.
      *
-     * @param timeoutMs milliseconds after which the attempt ends with CONNECT_FAILED
+     * @param timeoutMs the connect timeout in milliseconds, after which the attempt ends with CONNECT_FAILED
      */
     void waitForConnection(long timeoutMs) {
         server.addWaiting(this);
         waitDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-        waitTimeout = server.loop().schedule(this::failWaiting, timeoutMs, TimeUnit.MILLISECONDS);
+        waitTimeout = server.loop().schedule(this::failIfWaiting, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Returns whether it waits and must not be sent any more, though the timer that ends its wait may not have run. */
+    /** Returns whether a waiting attempt must not be sent any more. The timer of its wait may not have run yet. */
     boolean hasExpired(long nowNanos) {
         return handler.expiresWithConnectTimeout() && nowNanos - waitDeadlineNanos >= 0;
     }
 
-    /** Ends its wait without a connection, unless it has ended already. */
-    void failWaiting() {
+    /** Ends the attempt with CONNECT_FAILED if it still waits for a connection. */
+    void failIfWaiting() {
         if (server.removeWaiting(this)) {
             end(AttemptResult.CONNECT_FAILED, null);
         }
@@ -77,18 +77,18 @@
         }
     }
 
-    /** Returns the supplier of the request and receiver of the events. */
+    /** Returns the handler, which supplies the request and receives the events. */
     AttemptHandler handler() {
         return handler;
     }
 
-    /** Sets the connection that carries it from now on. */
-    void assignConnection(UpstreamConnection assigned) {
-        connection = assigned;
+    /** Assigns the connection on which the attempt is sent. */
+    void assignConnection(UpstreamConnection assignedConnection) {
+        connection = assignedConnection;
         cancelWaitTimeout();
     }
 
-    /** Reports the end of the attempt; only the first call has an effect. */
+    /** Ends the attempt and reports its result. Only the first call has an effect. */
     void end(AttemptResult result, UpstreamResponse response) {
         if (!ended) {
             ended = true;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
@@ -7,21 +7,21 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a server: idle, or carrying one attempt, whose request and response are an
- * {@link UpstreamExchange}. It owns the channel and decides when it can be used again. It runs on the channel's event
- * loop.
+ * One connection to a server, which is idle or carries one attempt. Its {@link UpstreamExchange} writes the request and
+ * reads the response. The connection owns the channel and decides whether the channel can be reused. Used on the
+ * channel's event loop only.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter implements UpstreamExchange.Listener {
     private final UpstreamServer server;
     private final int generation;
     private final Channel channel;
     private final UpstreamExchange exchange;
-    /** Whether it has carried an attempt. */
-    private boolean used;
+    /** Whether the connection has carried an attempt; only then can it be in quarantine. */
+    private boolean hasCarriedAttempt;
 
     private long idleSinceNanos;
 
-    /** Creates the connection of a channel that is about to connect, with the server's present generation. */
+    /** Creates the connection of a channel that is about to connect, with the server's current generation. */
     UpstreamConnection(UpstreamServer server, int generation, Channel channel) {
         this.server = server;
         this.generation = generation;
@@ -29,39 +29,39 @@
         exchange = new UpstreamExchange(channel, server.loop(), this);
     }
 
-    /** Makes a connection that has just been established available. */
+    /** Called when the connection has been established and is available for attempts. */
     void onConnected() {
-        server.completeConnect(generation);
+        server.onConnectSucceeded(generation);
         idleSinceNanos = System.nanoTime();
         release();
     }
 
-    /** Closes the channel; an attempt in flight ends as for any broken connection. */
+    /** Closes the channel. An attempt in flight ends in the same way as on a broken connection. */
     void close() {
         channel.close();
     }
 
-    /** Returns whether it carries an attempt. */
+    /** Returns whether the connection carries an attempt. */
     boolean hasAttempt() {
         return exchange.isActive();
     }
 
-    /** Returns when it became idle, by {@link System#nanoTime}. */
+    /** Returns the {@link System#nanoTime} at which the connection became idle. */
     long idleSinceNanos() {
         return idleSinceNanos;
     }
 
-    /** Returns whether it is open and within the idle timeout. */
+    /** Returns whether the connection is open and its idle timeout has not expired. */
     boolean isUsable(long nowNanos) {
         return channel.isActive() && nowNanos - idleSinceNanos <= server.idleTimeoutNanos();
     }
 
-    /** Returns whether it is usable and out of quarantine; a new connection has no quarantine. */
+    /** Returns whether the connection is usable and out of quarantine. A new connection has no quarantine. */
     boolean isReusable(long nowNanos) {
-        return isUsable(nowNanos) && (!used || nowNanos - idleSinceNanos >= server.quarantineNanos());
+        return isUsable(nowNanos) && (!hasCarriedAttempt || nowNanos - idleSinceNanos >= server.quarantineNanos());
     }
 
-    /** Carries the attempt that has waited longest, or becomes idle. */
+    /** Sends the attempt that has waited longest, or makes the connection idle, or closes it if its server is gone. */
     private void release() {
         if (!server.isCurrent(generation)) {
             channel.close();
@@ -70,26 +70,26 @@
         if (!channel.isActive()) {
             return;
         }
-        server.endExpired();
-        boolean hasWaiting = server.hasWaiting();
-        if (hasWaiting && isReusable(System.nanoTime())) {
+        server.endExpiredAttempts();
+        boolean hasWaitingAttempts = server.hasWaitingAttempts();
+        if (hasWaitingAttempts && isReusable(System.nanoTime())) {
             send(server.removeFirstWaiting());
-        } else if (server.isRemoved() && !hasWaiting) {
+        } else if (server.isRemoved() && !hasWaitingAttempts) {
             channel.close();
         } else {
             server.addIdle(this);
         }
     }
 
-    /** Writes the attempt's request; the connection must not be in use. */
-    void send(UpstreamAttempt next) {
-        used = true;
-        next.assignConnection(this);
-        exchange.start(next);
+    /** Sends the attempt's request. The connection must not carry another attempt. */
+    void send(UpstreamAttempt attempt) {
+        hasCarriedAttempt = true;
+        attempt.assignConnection(this);
+        exchange.start(attempt);
     }
 
     /**
-     * Detaches the attempt and closes the connection, which can't be reused: the response may still arrive.
+     * Detaches the attempt and closes the connection, which cannot be reused because the response may still arrive.
      *
      * @return whether the request had been written completely
      */
@@ -113,7 +113,7 @@
         discardUnlessBusy();
     }
 
-    /** Removes the connection from the idle ones, and closes it unless it carries an attempt. */
+    /** Removes the connection from the server's idle connections, and closes it unless it carries an attempt. */
     void discardUnlessBusy() {
         server.removeIdle(this);
         if (!exchange.isActive()) {
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -22,21 +22,20 @@
 import tansypass.node.lifecycle.DescriptorLimiter;
 
 /**
- * The connections to all servers, one request on each at a time. An attempt is sent once, to the server named,
- * and its end is reported once; nothing here retries. All methods are to be called on the event loop.
+ * The connections to all servers. Each carries one request at a time. The pool sends an attempt at most once, to the
+ * given server, and reports its end once; it never retries. All methods must be called on the event loop.
  */
 public final class UpstreamConnectionPool {
-    /** How long a connection is in quarantine after a response. Some servers send more bytes than belong to it, some
-     * milliseconds later according to the operators; after the next request was written they would be read as its
-     * response. */
+    /** The time for which a connection is not reused after a response. According to the operators, some servers send
+     * surplus bytes a few milliseconds after a response; a request written by then would get them as its response. */
     public static final long QUARANTINE_MS = 10;
-    /** How long a server may send nothing of a long response, or read nothing of a request, until the attempt ends: one
-     * that is alive does not pause for seconds. */
+    /** The time for which a server may send nothing of a long response, or read nothing of a request, before the
+     * attempt ends. A server that is alive does not pause for seconds. */
     public static final long STALL_TIMEOUT_MS = 2_500;
 
     private static final int MAX_STATUS_LINE_BYTES = 4_096;
     private static final int MAX_HEADER_BYTES = 16_384;
-    private static final long SWEEP_INTERVAL_MS = 500;
+    private static final long IDLE_CHECK_INTERVAL_MS = 500;
     private static final long US_PER_MS = 1_000;
 
     private final EventLoop loop;
@@ -45,27 +44,28 @@
     private final Bootstrap bootstrap;
     private final long idleTimeoutNanos;
     private final long quarantineNanos;
-    private final ScheduledFuture<?> sweeper;
+    private final ScheduledFuture<?> idleCheckTimer;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
 
     /**
      * Creates a pool without servers.
      *
-     * @param connectTimeoutUs microseconds until a connect fails
-     * @param serverIdleUs microseconds after which servers close an idle connection; the pool does so after
-     *     half of that time
-     * @param quarantineMs milliseconds from a response until its connection is used again
+     * @param connectTimeoutUs the time after which a connect fails, in microseconds
+     * @param serverIdleTimeoutUs the time after which servers close an idle connection, in microseconds; the pool
+     *     closes it after half of that time
+     * @param quarantineMs the time after a response for which its connection is not reused, in milliseconds
      */
     public UpstreamConnectionPool(
             EventLoop loop,
             DescriptorLimiter descriptors,
             long connectTimeoutUs,
-            long serverIdleUs,
+            long serverIdleTimeoutUs,
             long quarantineMs) {
         this.loop = loop;
         this.descriptors = descriptors;
-        // If the server is just closing the connection, it is unknown whether a request written to it was executed.
-        idleTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(serverIdleUs) / 2;
+        // Before the servers do: if a server closes a connection just as a request is written to it, it is unknown
+        // whether the request was executed.
+        idleTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(serverIdleTimeoutUs) / 2;
         quarantineNanos = TimeUnit.MILLISECONDS.toNanos(quarantineMs);
         connectTimeoutMs = (int) Math.max(1, connectTimeoutUs / US_PER_MS);
         bootstrap = new Bootstrap()
@@ -81,20 +81,20 @@
                                 ConnectionBufferLimits.INITIAL_READ_BYTES,
                                 ConnectionBufferLimits.MAX_READ_BYTES));
         descriptors.setServerListener(this::closeOldestIdle);
-        sweeper = loop.scheduleWithFixedDelay(
-                this::closeExpired, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        idleCheckTimer = loop.scheduleWithFixedDelay(
+                this::closeExpiredConnections, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the idle connections now, and the others when their attempts end. */
+    /** Closes the idle connections now, and each other connection when its attempt ends. */
     public void close() {
-        sweeper.cancel(false);
+        idleCheckTimer.cancel(false);
         for (UpstreamServer server : servers.values()) {
             server.markRemoved();
             server.closeIdleConnections();
         }
     }
 
-    /** Applies an endpoint list: servers that are new, have moved or restarted, are draining or were removed. */
+    /** Applies an endpoint list: adds new servers, updates those listed, and removes those gone. */
     public void update(EndpointList list) {
         Set<String> listedIds = new HashSet<>();
         for (EndpointList.Endpoint endpoint : list.endpoints()) {
@@ -102,8 +102,8 @@
             UpstreamServer server = servers.computeIfAbsent(
                     endpoint.id(), id -> new UpstreamServer(loop, idleTimeoutNanos, quarantineNanos));
             if (server.update(endpoint)) {
-                // The waiting attempts' connects went to the old address or process.
-                for (int i = server.waitingCount(); i > 0; i--) {
+                // The pending connects of these attempts went to the old address or process.
+                for (int i = server.waitingAttemptCount(); i > 0; i--) {
                     connect(server);
                 }
             }
@@ -116,11 +116,13 @@
             });
         }
         servers.values().stream().filter(UpstreamServer::isRemoved).forEach(UpstreamServer::closeIdleConnections);
-        servers.values().stream().filter(s -> s.isRemoved() || s.isDraining()).forEach(UpstreamServer::endWaiting);
-        servers.values().removeIf(s -> s.isRemoved() && !s.hasWaiting());
+        servers.values().stream()
+                .filter(s -> s.isRemoved() || s.isDraining())
+                .forEach(UpstreamServer::endWaitingAttempts);
+        servers.values().removeIf(s -> s.isRemoved() && !s.hasWaitingAttempts());
     }
 
-    /** Starts an attempt; its end may be reported before this returns. */
+    /** Starts an attempt. Its end may be reported before this method returns. */
     public UpstreamAttempt startAttempt(String serverId, AttemptHandler handler) {
         UpstreamServer server = servers.get(serverId);
         UpstreamAttempt attempt = new UpstreamAttempt(server, handler);
@@ -132,7 +134,8 @@
         if (connection != null) {
             connection.send(attempt);
         } else {
-            // If a connection leaves quarantine first, the new one is available to the next request.
+            // If an idle connection leaves quarantine first, it is used instead, and the new one serves the next
+            // request.
             attempt.waitForConnection(connectTimeoutMs);
             connect(server);
             server.scheduleDispatch();
@@ -141,19 +144,19 @@
     }
 
     private void connect(UpstreamServer server) {
-        int generation = server.startConnect();
+        int generation = server.onConnectStarted();
         if (!descriptors.addServer()) {
-            server.failConnect(generation);
+            server.onConnectFailed(generation);
             return;
         }
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
         } catch (ChannelException e) {
-            // Out of descriptors, most likely: closing an idle connection lets the next connect succeed.
+            // Probably no descriptor is left; closing an idle connection frees one for the next connect.
             descriptors.removeServer();
             descriptors.closeIdle();
-            server.failConnect(generation);
+            server.onConnectFailed(generation);
             return;
         }
         channel.closeFuture().addListener(closed -> descriptors.removeServer());
@@ -167,19 +170,19 @@
                     if (done.isSuccess()) {
                         connection.onConnected();
                     } else {
-                        server.failConnect(generation);
+                        server.onConnectFailed(generation);
                     }
                 });
     }
 
-    private void closeExpired() {
+    private void closeExpiredConnections() {
         long nowNanos = System.nanoTime();
         for (UpstreamServer server : servers.values()) {
-            server.closeExpired(nowNanos);
+            server.closeExpiredConnections(nowNanos);
         }
     }
 
-    /** Closes the connection that has been idle longest; returns whether there was one. */
+    /** Closes the connection that has been idle longest, and returns whether there was one. */
     private boolean closeOldestIdle() {
         UpstreamServer oldestServer = null;
         UpstreamConnection oldest = null;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
@@ -16,26 +16,27 @@
 import tansypass.node.http.UpstreamResponse;
 
 /**
- * The exchange of one attempt's request and response on a connection: writing, reading, relaying, and the timers on
- * its progress. One object serves all exchanges of a connection, one after another. Used on the channel's event loop.
+ * The exchange of one attempt's request and response on a connection. It writes the request, reads or relays the
+ * response, and owns the timers of their progress. One object serves all exchanges of a connection, one after another.
+ * Used on the channel's event loop only.
  */
 final class UpstreamExchange {
-    /** How long a response of unknown length is buffered in case it is short; and how long the body of a rejection or
-     * an error is awaited, after which its connection could be reused. */
+    /** The time for which a response of unknown length is buffered before it is relayed, because it may be short. Also
+     * the time to wait for the body of a rejection or an error; without the body the connection cannot be reused. */
     private static final long BUFFERING_TIMEOUT_MS = 50;
-    /** The stall timeout while the client does not read. */
+    /** The stall timeout while nothing is read from the server, because the client does not read. */
     private static final long CLIENT_STALL_TIMEOUT_MS = 10_000;
 
-    /** The connection that the exchange takes place on. */
+    /** Receives the end of exchanges; implemented by the connection. */
     interface Listener {
         /**
-         * Called when the response is complete, before it is reported; another exchange may start.
+         * Called when the response is complete, before it is reported. The connection may start another exchange.
          *
-         * @param reusable whether the connection can be used again
+         * @param reusable whether the connection can be reused
          */
         void onExchangeComplete(boolean reusable);
 
-        /** Called when the connection is broken, or has received data that belongs to no response. */
+        /** Called when the connection is broken or has received data that belongs to no response. */
         void onConnectionBroken();
     }
 
@@ -48,19 +49,19 @@
 
     /** Whether the request's last byte has been written to the socket. */
     private boolean requestWritten;
-    /** Writes a body that follows the request's head; null if the message was complete. */
+    /** Writes the body after the request's head; null if the message included the body. */
     private RequestBodyWriter bodyWriter;
 
     private ResponseReader response;
     /** The result of a response that is complete but not yet reported; null otherwise. */
-    private AttemptResult result;
+    private AttemptResult unreportedResult;
 
-    /** Whether the connection can be used again after the present response. */
+    /** Whether the connection can be reused after the current response. */
     private boolean reusable;
 
     private ScheduledFuture<?> bufferingTimer;
 
-    /** Creates the exchanges of a channel, none of which is in progress. */
+    /** Creates the object for the exchanges on a channel. None is in progress. */
     UpstreamExchange(Channel channel, EventLoop loop, Listener listener) {
         this.channel = channel;
         this.loop = loop;
@@ -73,45 +74,49 @@
         return attempt != null;
     }
 
-    /** Starts an exchange by writing the attempt's request; none may be in progress. */
-    void start(UpstreamAttempt next) {
-        attempt = next;
+    /** Starts an exchange by writing the attempt's request. No exchange may be in progress. */
+    void start(UpstreamAttempt newAttempt) {
+        attempt = newAttempt;
         requestWritten = false;
         bodyWriter = null;
         response = new ResponseReader();
-        result = null;
-        HttpRequest message = next.handler().createMessage();
+        unreportedResult = null;
+        HttpRequest message = newAttempt.handler().createMessage();
         if (message instanceof FullHttpRequest) {
-            reportWhenWritten(next, channel.writeAndFlush(message));
+            reportWhenWritten(newAttempt, channel.writeAndFlush(message));
             return;
         }
         channel.write(message);
         bodyWriter = new RequestBodyWriter(
-                channel, next.handler().requestBody(), stallTimeout, last -> reportWhenWritten(next, last));
+                channel,
+                newAttempt.handler().requestBody(),
+                stallTimeout,
+                lastWrite -> reportWhenWritten(newAttempt, lastWrite));
         stallTimeout.start(UpstreamConnectionPool.STALL_TIMEOUT_MS);
         bodyWriter.start();
     }
 
-    /** Reports when the last byte has been written to the socket; Netty never writes it twice. */
-    private void reportWhenWritten(UpstreamAttempt sent, ChannelFuture lastWrite) {
+    /** Reports to the attempt's handler when the last byte has been written to the socket, or ends the attempt if the
+     * write fails. A request whose last write has failed was not sent completely, since Netty never repeats a write. */
+    private void reportWhenWritten(UpstreamAttempt writtenAttempt, ChannelFuture lastWrite) {
         stopTimers();
         lastWrite.addListener(done -> {
-            if (attempt != sent) {
+            if (attempt != writtenAttempt) {
                 return;
             }
             if (done.isSuccess()) {
                 requestWritten = true;
-                sent.handler().onRequestWritten();
+                writtenAttempt.handler().onRequestWritten();
             } else {
                 attempt = null;
                 channel.close();
-                sent.end(AttemptResult.CONNECT_FAILED, null);
+                writtenAttempt.end(AttemptResult.CONNECT_FAILED, null);
             }
         });
     }
 
     /**
-     * Detaches the attempt and closes the channel, which can't be reused: the response may still arrive.
+     * Detaches the attempt and closes the channel, which cannot be reused because the response may still arrive.
      *
      * @return whether the request had been written completely
      */
@@ -122,17 +127,17 @@
         return requestWritten;
     }
 
-    /** Continues to write a body when the channel accepts more. */
+    /** Continues to write the request's body if the channel is writable again. */
     void onWritabilityChanged() {
         if (bodyWriter != null && channel.isWritable()) {
             bodyWriter.writeAvailable();
         }
     }
 
-    /** Processes a decoded part of the response; the caller releases it. */
+    /** Processes a decoded part of the response. The caller releases the part. */
     void read(HttpObject message) {
-        if (attempt == null || result != null) {
-            // Data after a malformed response, or a second response right behind the first.
+        if (attempt == null || unreportedResult != null) {
+            // Data after a malformed response, or a second response directly after the first.
             reusable = false;
             listener.onConnectionBroken();
             return;
@@ -145,7 +150,8 @@
         }
     }
 
-    /** Returns whether a success arrived before its request was written: it can't be the response to it. */
+    /** Returns whether a successful response has arrived before the body was written completely. Such a response cannot
+     * belong to the request. */
     private boolean isPremature() {
         return bodyWriter != null && !requestWritten && response.isSuccess();
     }
@@ -155,7 +161,7 @@
             fail();
             return;
         }
-        result = resultOfResponse();
+        unreportedResult = resultOfResponse();
         reusable = response.canReuseConnection() && requestWritten;
     }
 
@@ -181,7 +187,7 @@
         return loop.schedule(action, BUFFERING_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Relays what has been received of a response that is or may be long, and what follows. */
+    /** Starts to relay a response that is or may be long: first the buffered parts, then those that follow. */
     private void startRelay() {
         if (isPremature()) {
             fail();
@@ -194,7 +200,7 @@
         pauseReadingIfFull();
     }
 
-    /** Completes a rejection or an error whose body does not arrive; only its head matters. */
+    /** Completes a rejection or an error whose body has not arrived in time; its head is sufficient. */
     private void completeRejection() {
         completeResponse();
         reportResponse();
@@ -214,7 +220,8 @@
 
     private void onStall() {
         if (bodyWriter != null && !requestWritten && channel.isWritable()) {
-            // It waits for the client, whose rate is checked where its request is read.
+            // The server accepts more, but the client has sent no more of the body. The frontend checks the client's
+            // rate.
             stallTimeout.start(UpstreamConnectionPool.STALL_TIMEOUT_MS);
         } else {
             attempt.abort(AttemptResult.TIMEOUT);
@@ -232,9 +239,10 @@
         }
     }
 
-    /** Reports a complete response only after all that was read with it, so that its connection can be reused. */
+    /** Reports a complete response only at the end of the read, because surplus data read with the response would make
+     * the connection unusable. Flushes a response that is being relayed. */
     void onReadComplete() {
-        if (result != null) {
+        if (unreportedResult != null) {
             reportResponse();
         } else if (attempt != null && response.isStreaming()) {
             response.sinkOrNull().flush();
@@ -244,21 +252,21 @@
     /** Releases or closes the connection, and reports the complete response. */
     private void reportResponse() {
         UpstreamAttempt completed = attempt;
-        AttemptResult completedResult = result;
+        AttemptResult result = unreportedResult;
         ResponseBodySink sink = response.sinkOrNull();
         UpstreamResponse buffered = sink == null ? response.takeBuffered() : null;
         stopTimers();
         attempt = null;
-        result = null;
+        unreportedResult = null;
         listener.onExchangeComplete(reusable);
         if (sink != null) {
             sink.finish();
         }
-        completed.end(completedResult, buffered);
+        completed.end(result, buffered);
     }
 
-    /** Ends the attempt after a broken connection or response. Only a request that was not written completely is known
-     * not to have been executed. */
+    /** Ends the attempt, if any, because the connection or the response is broken. The attempt ends as CONNECT_FAILED
+     * only if its request was not written completely, because only then has the server certainly not executed it. */
     private void fail() {
         UpstreamAttempt failed = attempt;
         attempt = null;
@@ -269,9 +277,9 @@
         }
     }
 
-    /** Ends the exchange, if any, because the channel has; a complete response is still reported. */
+    /** Ends the exchange, if any, because the channel has ended. A complete response is still reported. */
     void onChannelEnd() {
-        if (result != null) {
+        if (unreportedResult != null) {
             reusable = false;
             reportResponse();
         } else {
--- a/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamServer.java
@@ -11,12 +11,12 @@
 import tansypass.balancer.ServerState;
 import tansypass.node.endpoint.EndpointList;
 
-/** One server of the pool: its address, its idle connections and the attempts that wait for one. */
+/** One server of the pool: its address, its idle connections and the attempts that wait for a connection. */
 final class UpstreamServer {
     private final EventLoop loop;
     private final long idleTimeoutNanos;
     private final long quarantineNanos;
-    /** Most recently used first. */
+    /** The idle connections, the most recently used one first. */
     private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
     private final Deque<UpstreamAttempt> waitingAttempts = new ArrayDeque<>();
@@ -24,40 +24,40 @@
     private long bootMs;
     private boolean removed;
     private boolean draining;
-    /** Counts addresses and processes: a connection of an earlier generation is not reused. */
+    /** Incremented when the server moves or restarts. A connection of an earlier generation is not reused. */
     private int generation;
 
-    /** Connects in progress of the current generation. */
+    /** The number of connects in progress of the current generation. */
     private int pendingConnects;
 
-    /** Creates a server without an address: {@link #update} has to follow. */
+    /** Creates a server without an address, which {@link #update} must set before the server is used. */
     UpstreamServer(EventLoop loop, long idleTimeoutNanos, long quarantineNanos) {
         this.loop = loop;
         this.idleTimeoutNanos = idleTimeoutNanos;
         this.quarantineNanos = quarantineNanos;
     }
 
-    /** Returns the event loop of all its connections. */
+    /** Returns the event loop of all connections to the server. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Returns for how many nanoseconds an idle connection may be kept. */
+    /** Returns the time for which an idle connection may be kept, in nanoseconds. */
     long idleTimeoutNanos() {
         return idleTimeoutNanos;
     }
 
-    /** Returns the nanoseconds from a response until its connection may be used again. */
+    /** Returns the time after a response for which its connection is not reused, in nanoseconds. */
     long quarantineNanos() {
         return quarantineNanos;
     }
 
-    /** Returns the address to connect to. */
+    /** Returns the address of the server. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Returns whether the server was removed from the endpoint list, or the pool has been closed. */
+    /** Returns whether the server has been removed from the endpoint list or the pool has been closed. */
     boolean isRemoved() {
         return removed;
     }
@@ -67,21 +67,21 @@
         return draining;
     }
 
-    /** Marks the server as removed, so that its connections are closed after their attempts. */
+    /** Marks the server as removed. Its connections are then closed after their attempts. */
     void markRemoved() {
         removed = true;
     }
 
-    /** Returns whether a connection of this generation was made to the present address and process. */
+    /** Returns whether a connection of this generation goes to the server's current address and process. */
     boolean isCurrent(int connectionGeneration) {
         return connectionGeneration == generation;
     }
 
     /**
-     * Applies the server's entry in the endpoint list. If the server has moved or restarted, its idle
-     * connections are closed and its pending connects no longer count.
+     * Applies the server's entry in the endpoint list. If the server has moved or restarted, its idle connections are
+     * closed and its pending connects are no longer counted.
      *
-     * @return whether it has moved or restarted, so that waiting attempts need new connects
+     * @return whether the server has moved or restarted; the waiting attempts then need new connects
      */
     boolean update(EndpointList.Endpoint endpoint) {
         boolean moved = address != null && !address.equals(endpoint.address());
@@ -99,24 +99,24 @@
         return true;
     }
 
-    /** Counts a connect and returns the generation that it belongs to. */
-    int startConnect() {
+    /** Counts a connect as pending, and returns the generation that it belongs to. */
+    int onConnectStarted() {
         pendingConnects++;
         return generation;
     }
 
-    /** Counts a connect as successful. */
-    void completeConnect(int connectGeneration) {
+    /** Counts a connect as no longer pending, because it succeeded. */
+    void onConnectSucceeded(int connectGeneration) {
         if (connectGeneration == generation) {
             pendingConnects--;
         }
     }
 
     /**
-     * Counts a connect as failed. Each connect serves one waiting attempt: the first one fails with it, unless
-     * there are enough other connects pending.
+     * Counts a connect as no longer pending, because it failed. Each connect serves one waiting attempt; if more
+     * attempts are waiting than connects are pending, the first attempt in the queue fails.
      */
-    void failConnect(int connectGeneration) {
+    void onConnectFailed(int connectGeneration) {
         if (connectGeneration != generation) {
             return;
         }
@@ -126,13 +126,13 @@
         }
     }
 
-    /** Returns how many attempts wait for a connection. */
-    int waitingCount() {
+    /** Returns the number of attempts that wait for a connection. */
+    int waitingAttemptCount() {
         return waitingAttempts.size();
     }
 
     /** Returns whether an attempt waits for a connection. */
-    boolean hasWaiting() {
+    boolean hasWaitingAttempts() {
         return !waitingAttempts.isEmpty();
     }
 
@@ -141,51 +141,51 @@
         waitingAttempts.add(attempt);
     }
 
-    /** Removes an attempt from the queue; returns whether it was in it. */
+    /** Removes an attempt from the queue, and returns whether it was queued. */
     boolean removeWaiting(UpstreamAttempt attempt) {
         return waitingAttempts.remove(attempt);
     }
 
-    /** Removes and returns the attempt that has waited longest; there has to be one. */
+    /** Removes and returns the attempt that has waited longest. An attempt must be waiting. */
     UpstreamAttempt removeFirstWaiting() {
         return waitingAttempts.remove();
     }
 
     /**
      * Ends the waiting attempts that must not be sent any more. Their timers do the same, but after a stall the event
-     * loop polls its sockets first and could assign a connection to them.
+     * loop polls its sockets before it runs timers, and could first assign a connection to such an attempt.
      */
-    void endExpired() {
+    void endExpiredAttempts() {
         if (waitingAttempts.isEmpty()) {
             return;
         }
         long nowNanos = System.nanoTime();
         for (UpstreamAttempt attempt : new ArrayList<>(waitingAttempts)) {
             if (attempt.hasExpired(nowNanos)) {
-                attempt.failWaiting();
+                attempt.failIfWaiting();
             }
         }
     }
 
-    /** Ends all waiting attempts, none of which was sent: a draining server must get no new request. */
-    void endWaiting() {
+    /** Ends all waiting attempts as NOT_SENT, because a draining or removed server must get no new request. */
+    void endWaitingAttempts() {
         for (UpstreamAttempt next = waitingAttempts.poll(); next != null; next = waitingAttempts.poll()) {
             next.end(AttemptResult.NOT_SENT, null);
         }
     }
 
-    /** Adds a connection that has just been used or connected. */
+    /** Adds a connection that has just completed a response or been established. */
     void addIdle(UpstreamConnection connection) {
         idleConnections.push(connection);
         scheduleDispatch();
     }
 
-    /** Removes a connection if it is among the idle ones. */
+    /** Removes a connection from the idle ones, if it is one of them. */
     void removeIdle(UpstreamConnection connection) {
         idleConnections.remove(connection);
     }
 
-    /** Removes and returns the most recently used connection that is out of quarantine; null if there is none. */
+    /** Removes and returns the most recently used idle connection that is out of quarantine; null if there is none. */
     UpstreamConnection takeIdleOrNull() {
         long nowNanos = System.nanoTime();
         while (!idleConnections.isEmpty() && !idleConnections.peek().isUsable(nowNanos)) {
@@ -205,7 +205,7 @@
         return idleConnections.peekLast();
     }
 
-    /** Closes the least recently used idle connection; there has to be one. */
+    /** Closes the least recently used idle connection. There must be an idle connection. */
     void closeOldestIdle() {
         idleConnections.pollLast().close();
     }
@@ -217,23 +217,24 @@
         idle.forEach(UpstreamConnection::close);
     }
 
-    /** Closes the connections whose idle timeout has expired. */
-    void closeExpired(long nowNanos) {
+    /** Closes the idle connections whose idle timeout has expired. */
+    void closeExpiredConnections(long nowNanos) {
         while (!idleConnections.isEmpty()
                 && nowNanos - idleConnections.peekLast().idleSinceNanos() > idleTimeoutNanos) {
             closeOldestIdle();
         }
     }
 
-    /** Schedules the use of idle connections for waiting attempts, for when those leave quarantine. */
+    /** Schedules the dispatch of waiting attempts on idle connections, for the time when the connections have left
+     * quarantine. */
     void scheduleDispatch() {
         if (!idleConnections.isEmpty() && !waitingAttempts.isEmpty()) {
-            loop.schedule(this::dispatchWaiting, quarantineNanos, TimeUnit.NANOSECONDS);
+            loop.schedule(this::dispatchWaitingAttempts, quarantineNanos, TimeUnit.NANOSECONDS);
         }
     }
 
-    private void dispatchWaiting() {
-        endExpired();
+    private void dispatchWaitingAttempts() {
+        endExpiredAttempts();
         UpstreamConnection connection = waitingAttempts.isEmpty() ? null : takeIdleOrNull();
         while (connection != null) {
             connection.send(waitingAttempts.poll());
--- a/node/src/main/java/tansypass/node/upstream/package-info.java
+++ b/node/src/main/java/tansypass/node/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to the web servers: a pool of them, the attempts that they carry, and the result of each
- * attempt. Nothing here retries or chooses a server. Everything runs on the node's one event loop.
+ * The pool of connections to the web servers, and the attempts that are sent on them. This package neither retries
+ * attempts nor selects servers. All classes run on the node's one event loop.
  */
 package tansypass.node.upstream;
--- a/node/src/main/java/tansypass/node/warmup/WarmUp.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUp.java
@@ -12,28 +12,29 @@
 import tansypass.node.lifecycle.DescriptorLimiter;
 
 /**
- * Synthetic requests to a node before it reports that it is ready. A process that has just started loads classes and
- * runs unoptimised code: the first real requests took up to 0.2 s of processor time each, and those behind them missed
- * their deadlines. A second node with a state of its own sends the requests over real connections to the first one's
- * address, where they are recognised by a token and responded to at once; none of them reaches a web server or the
- * first node's decision module. Used on the event loop only.
+ * Sends synthetic requests to a node before the node reports that it is ready. A process that has just started loads
+ * classes and runs unoptimised code: without a warm-up, each of the first requests took up to 0.2 s of processor time,
+ * and the requests queued behind them missed their deadlines. A second node with its own state sends the synthetic
+ * requests over real connections to the first one, which recognises them by a token and responds at once. None of them
+ * reaches a web server or the load balancer of the first node. Used on the event loop only.
  */
 public final class WarmUp {
     /**
-     * Requests after which the code that each request runs has been compiled: the interpreter checks a method's calls
-     * every 128, and requests its compilation beyond 200. More would only delay the start.
+     * The number of requests after which the JIT compiler has compiled the code that every request runs. The
+     * interpreter checks a method's invocation count at every 128th call, and requests compilation above a count of
+     * 200. More requests would only delay the start.
      */
     public static final int REQUESTS = 300;
 
     private static final int CONCURRENT_REQUESTS = 4;
-    /** Each connection takes two descriptors, since both ends are in this process: without a bound the start could
-     * exhaust a small limit. */
+    /** The maximum number of connections between the two nodes. Each takes two descriptors, because both ends are in
+     * this process; without a maximum, the warm-up could exhaust a small descriptor limit. */
     private static final int MAX_CONNECTIONS = 8;
 
     private static final int MAX_DESCRIPTORS = DescriptorLimiter.RESERVE + CONCURRENT_REQUESTS + MAX_CONNECTIONS;
     private static final long SEED = 1;
-    /** This server sends nothing beyond its responses, so that its connections can be reused at once; with a
-     * quarantine a fast machine would have many of them waiting. */
+    /** The quarantine of the sending node's connections. None is needed, because the target sends no surplus bytes
+     * after a response; with a quarantine, many connections would wait on a fast machine. */
     public static final long SENDER_QUARANTINE_MS = 0;
 
     private final EventLoop loop;
@@ -49,10 +50,10 @@
     /**
      * Creates a warm-up that has not started.
      *
-     * @param sender forwards the requests, with the configuration of {@link #createSenderConfig}; closed at the end
-     * @param requestCount how many requests are sent, unless the timeout comes first
-     * @param timeoutMs milliseconds from now to the end of the warm-up at the latest
-     * @param whenDone runs once at the end, whether all requests were responded to or not
+     * @param sender the node that sends the requests, configured by {@link #createSenderConfig}; closed at the end
+     * @param requestCount the number of requests to send before the timeout
+     * @param timeoutMs the time from now after which the warm-up ends at the latest, in milliseconds
+     * @param whenDone run once at the end, even if some requests got no response
      */
     public WarmUp(
             EventLoop loop,
@@ -70,10 +71,10 @@
     }
 
     /**
-     * Returns the configuration of a node whose only web server is the target.
+     * Creates the configuration of the sending node, whose only web server is the node to warm up.
      *
-     * @param targetConfig of the node to warm up
-     * @param target the address that it listens on for the warm-up
+     * @param targetConfig the configuration of the node to warm up
+     * @param target the address on which the node to warm up listens during the warm-up
      */
     public static NodeConfig createSenderConfig(NodeConfig targetConfig, InetSocketAddress target) {
         List<String> zones = targetConfig.settings().zones();
@@ -92,7 +93,7 @@
     /** Starts the warm-up. */
     public void run() {
         sender.startForWarmUp();
-        // A failure of the warm-up must not keep the node from serving.
+        // Ends even if requests get no response, because a failed warm-up must not prevent the node from serving.
         loop.schedule(this::end, deadlineNs - System.nanoTime(), TimeUnit.NANOSECONDS);
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             sendNext(new Client());
@@ -123,7 +124,7 @@
         client.writeInbound(requestFactory.create(sentCount++));
     }
 
-    /** A client without a socket: what the sending node writes to its channel is a response. */
+    /** A client without a socket. Each message that the sending node writes to its channel is a response. */
     private final class Client extends EmbeddedChannel {
         Client() {
             sender.openWarmUpConnection(pipeline());
--- a/node/src/main/java/tansypass/node/warmup/WarmUpRequestFactory.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUpRequestFactory.java
@@ -9,7 +9,7 @@
 import tansypass.balancer.RequestClass;
 import tansypass.node.frontend.HttpFrontend;
 
-/** Creates the requests of a warm-up, of each class in turn. Immutable. */
+/** Creates the requests of a warm-up, in a rotation of the request classes. Immutable. */
 public final class WarmUpRequestFactory {
     private static final int REMAINING_TIME_MS = 3_000;
     private static final String BODY = "body";
@@ -21,7 +21,7 @@
     /**
      * Creates a factory for the classes and tenants of the settings.
      *
-     * @param token by which the node that is warmed up recognises the requests
+     * @param token the token by which the node to warm up recognises the requests
      */
     public WarmUpRequestFactory(BalancerSettings settings, String token) {
         this.settings = settings;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Creates a request as it is on the wire, which the caller has to release.
+     * Creates an encoded request, which the caller must release.
      *
-     * @param number counts from 0; it is the request's id too
+     * @param number the number of the request, counted from 0; also used as the request's id
      */
     ByteBuf create(int number) {
         RequestClass requestClass =
--- a/node/src/main/java/tansypass/node/warmup/WarmUpSender.java
+++ b/node/src/main/java/tansypass/node/warmup/WarmUpSender.java
@@ -3,16 +3,16 @@
 import io.netty.channel.ChannelPipeline;
 
 /**
- * A node that forwards the requests of a warm-up to the node that is warmed up, its only web server. Used on the event
- * loop only.
+ * The node that sends the requests of a warm-up. Its only web server is the node to warm up. Used on the event loop
+ * only.
  */
 public interface WarmUpSender {
-    /** Starts the node with its fixed endpoint list; it does not listen. */
+    /** Starts the node with its fixed endpoint list. The node does not listen for connections. */
     void startForWarmUp();
 
-    /** Sets up a client's connection on a channel of the warm-up. */
+    /** Adds the handlers of a client connection to the pipeline of a channel of the warm-up. */
     void openWarmUpConnection(ChannelPipeline pipeline);
 
-    /** Ends all requests and releases timers and connections. */
+    /** Ends all requests, stops the timers and closes the connections. */
     void close();
 }
