--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** Bytes that arrive just as a node closes a connection or shuts down, and floods of connections and requests. */
+/** Data that arrives just as a node closes a connection or shuts down, and floods of connections and requests. */
 @Timeout(120)
 class ConnectionCloseTest extends RunningNodeTestBase {
-    /** The deadline of a request over all attempts of its client, by the settings. */
+    /** The deadline of a request in the settings, which covers all retries by its client. */
     private static final int DEADLINE_MS = 30_000;
-    /** Pipelined requests sent before another client's request. */
+    /** The number of pipelined requests that are sent before another client's request. */
     private static final int PIPELINED_FIRST = 50;
 
     private JsonObject createConfig() {
@@ -47,31 +47,35 @@
         return client;
     }
 
-    /** Asserts that the request was answered and forwarded once, or not forwarded; returns whether it was answered. */
-    private boolean assertAnsweredOrUnread(Socket client, long id) throws Exception {
+    /**
+     * Asserts that the request either got a response and was forwarded once, or got none and was not forwarded.
+     *
+     * @return whether the request got a response
+     */
+    private boolean assertRespondedOrUnread(Socket client, long id) throws Exception {
         String response = null;
         try {
             response = FakePeer.readMessage(client);
         } catch (IOException e) {
-            // The connection was reset, since it was closed with unread input.
+            // The node closed the connection with unread input, which resets it.
             response = null;
         }
         node.loop.submit(() -> {}).get();
-        long sent = server.requests.stream()
+        long forwardedCount = server.requests.stream()
                 .filter(r -> r.contains(String.format("%016x", id)))
                 .count();
-        assertEquals(response == null ? 0 : 1, sent, response);
+        assertEquals(response == null ? 0 : 1, forwardedCount, response);
         assertTrue(response == null || response.endsWith("done"), response);
         return response != null;
     }
 
     @ParameterizedTest
     @CsvSource({"8, true", "8, false", "12, true", "12, false"})
-    void answersOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
+    void respondsOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
         JsonObject json = createConfig();
         json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + sockets);
         node = new RunningNode(json);
-        int unread = 0;
+        int unreadCount = 0;
         for (int i = 1; i < 60; i += 2) {
             Socket idle = openIdle(i);
             CountDownLatch release = node.blockEventLoop();
@@ -86,58 +90,58 @@
                 FakePeer.write(idle, get(i + 1));
             }
             release.countDown();
-            unread += assertAnsweredOrUnread(idle, i + 1) ? 0 : 1;
+            unreadCount += assertRespondedOrUnread(idle, i + 1) ? 0 : 1;
             for (Socket other : others) {
                 other.close();
             }
             idle.close();
         }
-        assertTrue(requestFirst || unread > 0, "never closed in that moment");
+        assertTrue(requestFirst || unreadCount > 0, "no connection was closed before its request was read");
     }
 
-    /** The event loop is blocked from one time after the shutdown began to another, across a step of the shutdown. */
+    /** The event loop is blocked between two times after the start of the shutdown, across one of its steps. */
     @ParameterizedTest
     @CsvSource({"20, 250", "300, 590", "500, 640", "580, 690"})
-    void answersOrClosesUnreadRequestDuringShutdown(long fromMs, long untilMs) throws Exception {
+    void respondsOrClosesUnreadRequestDuringShutdown(long blockedFromMs, long blockedUntilMs) throws Exception {
         node = new RunningNode(createConfig());
         Socket idle = openIdle(1);
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch stopped = new CountDownLatch(1);
-        long from = node.loop
+        long stopStartedNs = node.loop
                 .submit(() -> {
                     node.node.stop(stopped::countDown);
                     node.loop.schedule(
                             () -> {
-                                held.countDown();
+                                blocked.countDown();
                                 Fixture.awaitLatch(release);
                             },
-                            fromMs,
+                            blockedFromMs,
                             TimeUnit.MILLISECONDS);
                     return System.nanoTime();
                 })
                 .get();
-        assertTrue(held.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
-        Socket late = null;
+        assertTrue(blocked.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        Socket lateClient = null;
         try {
-            late = node.connect();
-            FakePeer.write(late, get(3));
+            lateClient = node.connect();
+            FakePeer.write(lateClient, get(3));
         } catch (IOException e) {
-            assertTrue(fromMs >= 580, "refused while connections still come");
+            assertTrue(blockedFromMs >= 580, "refused while the node still accepts connections");
         }
-        while (System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(untilMs)) {
+        while (System.nanoTime() - stopStartedNs < TimeUnit.MILLISECONDS.toNanos(blockedUntilMs)) {
             Thread.onSpinWait();
         }
         FakePeer.write(idle, get(2));
         release.countDown();
-        assertTrue(assertAnsweredOrUnread(idle, 2) || untilMs > 400, "closed early");
-        if (late != null) {
-            assertTrue(assertAnsweredOrUnread(late, 3), "taken and not answered");
+        assertTrue(assertRespondedOrUnread(idle, 2) || blockedUntilMs > 400, "closed too early");
+        if (lateClient != null) {
+            assertTrue(assertRespondedOrUnread(lateClient, 3), "accepted without a response");
         }
         assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** The client reads so slowly that the kernel still holds much of the response when the connection is closed. */
+    /** When the node closes the connection, the kernel still buffers much of the response for the slow client. */
     @ParameterizedTest
     @ValueSource(ints = {8_000, 50_000, 300_000, 1_000_000})
     void lingeringCloseProtectsResponseFromUnreadInput(int length) throws Exception {
@@ -157,20 +161,20 @@
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "Connection: close\r\n", ""));
             server.nextRequest();
             Socket attempt = FakePeer.awaitNext(server.accepted);
-            // The request is announced before the script runs: the last byte must not overtake the others.
+            // The request is queued before the script runs; the last byte must follow the script's bytes.
             assertTrue(allButLastByteWritten.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
             CountDownLatch release = node.blockEventLoop();
             attempt.setTcpNoDelay(true);
-            // In one iteration of the event loop: the last byte of the response, then input that is never read.
+            // One iteration of the event loop sees the last byte of the response, and input that is never read.
             attempt.getOutputStream().write(body, length - 1, 1);
             FakePeer.write(client, get(2));
             release.countDown();
             node.awaitMetric("in_flight", 0);
             node.loop.submit(() -> {}).get();
-            byte[] got = client.getInputStream().readAllBytes();
-            int head = got.length - length;
-            assertTrue(head > 0 && head < 500, "cut off after " + got.length);
-            assertArrayEquals(body, Arrays.copyOfRange(got, head, got.length));
+            byte[] received = client.getInputStream().readAllBytes();
+            int headLength = received.length - length;
+            assertTrue(headLength > 0 && headLength < 500, "cut off after " + received.length);
+            assertArrayEquals(body, Arrays.copyOfRange(received, headLength, received.length));
         }
         assertEquals(0, server.requests.size(), "read and forwarded after the close");
     }
@@ -205,11 +209,11 @@
             String response = FakePeer.readMessage(client);
             if (response.startsWith("HTTP/1.1 200")) {
                 client.getInputStream().readAllBytes();
-                fail("a response that was cut off looked complete: " + response);
+                fail("a truncated response looked complete: " + response);
             }
             assertTrue(response.startsWith("HTTP/1.1 5") && !response.startsWith("HTTP/1.1 503"), response);
         } catch (IOException e) {
-            // Cut off after its start, which the client can tell.
+            // The response was aborted after its start, which the client can detect.
             assertTrue(partialResponse.contains("chunked"), partialResponse);
         }
         assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
@@ -246,10 +250,10 @@
         assertTrue(server.accepted.size() < 50, server.accepted.size() + " connections for 20 requests");
     }
 
-    /** The requests wait for one another; each has the deadline of its class left. */
+    /** The requests wait for each other, and each is sent with the deadline of its class as its remaining time. */
     @ParameterizedTest
     @ValueSource(ints = {200, 600})
-    void servesHundredsOfPipelinedRequestsAndAnotherClientMeanwhile(int requests) throws Exception {
+    void servesHundredsOfPipelinedRequestsAndAnotherClientMeanwhile(int requestCount) throws Exception {
         JsonObject json = createConfig();
         json.getAsJsonObject("settings")
                 .getAsJsonArray("realms")
@@ -258,41 +262,42 @@
                 .addProperty("quotaPerS", 0);
         node = new RunningNode(json);
         Socket pipelining = node.connect();
-        StringBuilder all = new StringBuilder();
-        int first = 0;
-        for (int i = 0; i < requests; i++) {
-            all.append(getWithin(DEADLINE_MS, 1_000 + i));
-            first = i < PIPELINED_FIRST ? all.length() : first;
+        StringBuilder pipelinedRequests = new StringBuilder();
+        int firstLength = 0;
+        for (int i = 0; i < requestCount; i++) {
+            pipelinedRequests.append(getWithin(DEADLINE_MS, 1_000 + i));
+            firstLength = i < PIPELINED_FIRST ? pipelinedRequests.length() : firstLength;
         }
         Socket other = node.connect();
         CountDownLatch release = node.blockEventLoop();
-        FakePeer.write(pipelining, all.substring(0, first));
+        FakePeer.write(pipelining, pipelinedRequests.substring(0, firstLength));
         FakePeer.write(other, getWithin(DEADLINE_MS, 1));
         release.countDown();
-        FakePeer.write(pipelining, all.substring(first));
+        FakePeer.write(pipelining, pipelinedRequests.substring(firstLength));
         assertTrue(FakePeer.readMessage(other).endsWith("done"));
-        for (int i = 0; i < requests; i++) {
+        for (int i = 0; i < requestCount; i++) {
             String response = FakePeer.readMessage(pipelining);
             assertTrue(response != null && response.endsWith("done"), i + ": " + response);
         }
-        assertEquals(requests + 1, server.requests.size(), "forwarded and not served, or twice");
-        List<String> sent = List.copyOf(server.requests);
-        int place = sent.indexOf(sent.stream()
+        assertEquals(requestCount + 1, server.requests.size(), "forwarded and not served, or twice");
+        List<String> forwarded = List.copyOf(server.requests);
+        int position = forwarded.indexOf(forwarded.stream()
                 .filter(request -> request.contains(String.format("%016x", 1)))
                 .findFirst()
                 .orElseThrow());
-        assertTrue(place < PIPELINED_FIRST, "waited behind " + place + " requests of another client");
+        assertTrue(position < PIPELINED_FIRST, "waited behind " + position + " requests of another client");
     }
 
     /**
-     * A request with 20 s left of 30 s is taken to be a client's retry after 10 s, with its objective missed, unless
-     * most requests have so much left. One that has waited behind another for more than the tolerance (2 % of 30 s) has
-     * less than most: it may be rejected (503) then, before it is forwarded, and in no other case.
+     * The load balancer takes a request with 20 s left of 30 s for a client's retry after 10 s, which has missed its
+     * latency objective, unless most requests have that much time left. A pipelined request that has waited for more
+     * than the tolerance (2 % of 30 s) has less time left than most. Only then may it be rejected (503), before it is
+     * forwarded.
      */
     @ParameterizedTest
     @CsvSource({"30000, 200, 2", "20000, 503, 1"})
-    void rejectsPipelinedRequestOnlyIfItsRemainingTimeTellsOfAMissedObjective(
-            int remainingMs, String status, int forwarded) throws Exception {
+    void rejectsPipelinedRequestOnlyIfItsRemainingTimeImpliesAMissedObjective(
+            int remainingMs, String status, int forwardedCount) throws Exception {
         node = new RunningNode(createConfig());
         Socket client = node.connect();
         for (int i = 0; i < 10; i++) {
@@ -309,9 +314,9 @@
         server.nextRequest();
         node.loop.schedule(release::countDown, DEADLINE_MS * 3 / 100, TimeUnit.MILLISECONDS);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
-        String second = FakePeer.readMessage(client);
-        assertTrue(second.startsWith("HTTP/1.1 " + status), second);
-        assertEquals(forwarded - 1, server.requests.size());
+        String secondResponse = FakePeer.readMessage(client);
+        assertTrue(secondResponse.startsWith("HTTP/1.1 " + status), secondResponse);
+        assertEquals(forwardedCount - 1, server.requests.size());
     }
 
     private static String getWithin(int remainingMs, long id) {
--- a/node/src/test/java/tansypass/node/EventRaceTest.java
+++ b/node/src/test/java/tansypass/node/EventRaceTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** Events that coincide in one iteration of the event loop, and the retries that each end of an attempt permits. */
+/** Events that coincide in one iteration of the event loop, and the retries that are permitted after each failure. */
 @Timeout(120)
 class EventRaceTest extends RunningNodeTestBase {
     private static final Map<String, FakePeer.Script> FAILURES = Map.of(
@@ -136,7 +136,7 @@
         discovery.breakWatches();
         discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", server));
         release.countDown();
-        // Excluded: the new watch has delivered the update.
+        // The server is excluded once the new watch has delivered the update.
         node.awaitMetric("web_servers_excluded", 1);
         Socket client = node.connect();
         for (int i = 0; i < 20; i++) {
--- a/node/src/test/java/tansypass/node/FakeDiscovery.java
+++ b/node/src/test/java/tansypass/node/FakeDiscovery.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A fake of discovery: sends each watch all published lines and, at intervals, a heartbeat. */
+/** A fake discovery agent that sends each watch all published lines, and a heartbeat at regular intervals. */
 final class FakeDiscovery implements Closeable {
     private static final long HEARTBEAT_MS = 300;
 
@@ -40,7 +40,7 @@
         heartbeats.start();
     }
 
-    /** Sends a line to all present and future watches. */
+    /** Sends a line to all current and future watches. */
     void publish(String line) {
         synchronized (watches) {
             published.add(line);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Sends the first half of a line to all present watches, which get nothing more. */
+    /** Sends the first half of a line, and nothing after it, to all current watches. */
     void writePartialLine(String line) throws IOException {
         synchronized (watches) {
             for (Socket watch : watches) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Closes the connections of all present watches. */
+    /** Closes the connections of all current watches. */
     void breakWatches() throws IOException {
         synchronized (watches) {
             for (Socket watch : watches) {
--- a/node/src/test/java/tansypass/node/HttpStreams.java
+++ b/node/src/test/java/tansypass/node/HttpStreams.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 import java.util.SplittableRandom;
 
-/** Long HTTP bodies, written and read piece by piece on plain sockets. */
+/** Writes and reads long HTTP bodies part by part on plain sockets. */
 final class HttpStreams {
-    /** Long enough to be streamed and not buffered, in bytes. */
+    /** The length of the body in bytes, at which a node streams a message instead of buffering it. */
     static final int LENGTH = 300_000;
 
     private static final byte[] BODY = new byte[LENGTH];
@@ -25,22 +25,22 @@
         return BODY.clone();
     }
 
-    /** Writes the bytes of the body from one index up to, but not including, another. */
-    static void write(Socket to, int from, int end) throws IOException {
-        to.getOutputStream().write(BODY, from, end - from);
+    /** Writes a range of the body's bytes; the end index is exclusive. */
+    static void write(Socket socket, int startIndex, int endIndex) throws IOException {
+        socket.getOutputStream().write(BODY, startIndex, endIndex - startIndex);
     }
 
-    /** Reads the head of a message and nothing of its body; throws EOFException if it is incomplete. */
-    static String readHead(Socket from) throws IOException {
-        return readUntil(from.getInputStream(), "\r\n\r\n");
+    /** Reads the head of a message but not its body. Throws EOFException if the head is incomplete. */
+    static String readHead(Socket socket) throws IOException {
+        return readUntil(socket.getInputStream(), "\r\n\r\n");
     }
 
-    /** Reads a complete chunked body; throws EOFException if it is incomplete. */
-    static byte[] readChunkedBody(Socket from) throws IOException {
+    /** Reads a complete chunked body. Throws EOFException if it is incomplete. */
+    static byte[] readChunkedBody(Socket socket) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        InputStream in = from.getInputStream();
+        InputStream in = socket.getInputStream();
         while (true) {
-            int size = readChunkSize(from);
+            int size = readChunkSize(socket);
             body.write(in.readNBytes(size));
             in.readNBytes(2);
             if (size == 0) {
@@ -49,19 +49,19 @@
         }
     }
 
-    /** Reads the line with the size of a chunk. */
-    static int readChunkSize(Socket from) throws IOException {
-        return Integer.parseInt(readUntil(from.getInputStream(), "\r\n").trim(), 16);
+    /** Reads the line that gives the size of a chunk, and returns the size. */
+    static int readChunkSize(Socket socket) throws IOException {
+        return Integer.parseInt(readUntil(socket.getInputStream(), "\r\n").trim(), 16);
     }
 
-    private static String readUntil(InputStream in, String end) throws IOException {
+    private static String readUntil(InputStream in, String terminator) throws IOException {
         StringBuilder text = new StringBuilder();
-        while (text.indexOf(end) < 0) {
-            int b = in.read();
-            if (b < 0) {
+        while (text.indexOf(terminator) < 0) {
+            int nextByte = in.read();
+            if (nextByte < 0) {
                 throw new EOFException("ended after " + text);
             }
-            text.append((char) b);
+            text.append((char) nextByte);
         }
         return text.toString();
     }
--- a/node/src/test/java/tansypass/node/RetryWindowTest.java
+++ b/node/src/test/java/tansypass/node/RetryWindowTest.java
@@ -22,44 +22,45 @@
  */
 @Timeout(120)
 class RetryWindowTest extends RunningNodeTestBase {
-    /** If the machine was too slow for a retry to be due, a round shows nothing and is repeated. */
+    /** The maximum number of rounds. A round tests nothing and is repeated if the machine is too slow for a retry. */
     private static final int MAX_ROUNDS = 10;
 
     private static final int REMAINING_MS = 30_000;
-    /** More event loop tasks than there are from an event to the start of the connect. */
+    /** More than the number of event loop tasks from an event to the start of the connect that it causes. */
     private static final int TASKS_TO_CONNECT = 8;
 
-    private static final int ACCEPT_PATIENCE_MS = 1_000;
+    private static final int ACCEPT_TIMEOUT_MS = 1_000;
 
-    private FakePeer remote;
+    private FakePeer remoteServer;
 
     @BeforeEach
-    void openRemote() throws IOException {
-        remote = new FakePeer(Fixture.RESPOND_OK);
+    void openRemoteServer() throws IOException {
+        remoteServer = new FakePeer(Fixture.RESPOND_OK);
     }
 
     @AfterEach
-    void closeRemote() throws IOException {
-        remote.close();
+    void closeRemoteServer() throws IOException {
+        remoteServer.close();
     }
 
-    private void start(String repeat, int windowMs, int connectTimeoutMs) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        JsonObject settings = json.getAsJsonObject("settings");
+    private void startNode(String idempotency, int windowMs, int connectTimeoutMs) throws Exception {
+        JsonObject config = Fixture.createConfig(discovery.peer, server);
+        JsonObject settings = config.getAsJsonObject("settings");
         settings.add(
                 "classes",
                 JsonParser.parseString(("[{'name':'pay','repeat':'%s','group':'all','onTimeUs':30000000,"
                                 + "'giveUpUs':30000000,'windowUs':%d}]")
-                        .formatted(repeat, TimeUnit.MILLISECONDS.toMicros(windowMs))));
+                        .formatted(idempotency, TimeUnit.MILLISECONDS.toMicros(windowMs))));
         settings.add("zones", JsonParser.parseString("['a','b']"));
         settings.add("costs", JsonParser.parseString("{'crossZone':0.03}"));
         settings.getAsJsonObject("limits")
                 .addProperty("dialTimeoutUs", TimeUnit.MILLISECONDS.toMicros(connectTimeoutMs));
-        JsonObject known = JsonParser.parseString(Fixture.formatEndpointList(41, true, "Ready", server, remote))
+        JsonObject endpointList = JsonParser.parseString(
+                        Fixture.formatEndpointList(41, true, "Ready", server, remoteServer))
                 .getAsJsonObject();
-        known.getAsJsonArray("targets").get(1).getAsJsonObject().addProperty("az", "b");
-        json.add("known", known);
-        node = new RunningNode(json);
+        endpointList.getAsJsonArray("targets").get(1).getAsJsonObject().addProperty("az", "b");
+        config.add("known", endpointList);
+        node = new RunningNode(config);
     }
 
     private Socket sendRequest(int remainingMs) throws Exception {
@@ -75,45 +76,45 @@
                         .replace("Ms: " + Fixture.REMAINING_MS, "Ms: " + remainingMs));
     }
 
-    private static void spinUntil(long fromNs, long forMs) {
-        while (System.nanoTime() - fromNs < TimeUnit.MILLISECONDS.toNanos(forMs)) {
+    private static void spinFor(long startNs, long durationMs) {
+        while (System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(durationMs)) {
             Thread.onSpinWait();
         }
     }
 
-    /** Blocks the event loop after the next event has started a connect, before the loop can see its result. */
+    /** Blocks the event loop after the next event has started a connect, before the loop sees its result. */
     private CountDownLatch blockAfterConnect(CountDownLatch blocked) {
         CountDownLatch release = new CountDownLatch(1);
-        Runnable hold = () -> {
+        Runnable blockLoop = () -> {
             blocked.countDown();
             Fixture.awaitLatch(release);
         };
-        // Scheduled from the loop, so that it runs after the next poll and therefore behind the event.
+        // A timer that is scheduled on the loop runs after the loop's next poll, and therefore after the event.
         node.loop.execute(
-                () -> node.loop.schedule(() -> executeAfter(TASKS_TO_CONNECT, hold), 1, TimeUnit.NANOSECONDS));
+                () -> node.loop.schedule(() -> executeAfter(TASKS_TO_CONNECT, blockLoop), 1, TimeUnit.NANOSECONDS));
         return release;
     }
 
-    /** Runs a task on the event loop after a chain of this many others. */
-    private void executeAfter(int tasks, Runnable last) {
-        node.loop.execute(tasks == 0 ? last : () -> executeAfter(tasks - 1, last));
+    /** Runs a task on the event loop after a chain of other tasks. */
+    private void executeAfter(int taskCount, Runnable task) {
+        node.loop.execute(taskCount == 0 ? task : () -> executeAfter(taskCount - 1, task));
     }
 
     @ParameterizedTest
     @CsvSource({"keyed, 0, 20, 503", "keyed, 100, 20, 503", "unsafe, 0, 20, 502", "unsafe, 100, 20, 502"})
-    void doesNotRetryFailureSeenAfterWindow(String repeat, int windowMs, int connectTimeoutMs, String status)
+    void doesNotRetryFailureSeenAfterWindow(String idempotency, int windowMs, int connectTimeoutMs, String status)
             throws Exception {
         server.setScript(FakePeer.SILENT);
-        start(repeat, windowMs, connectTimeoutMs);
+        startNode(idempotency, windowMs, connectTimeoutMs);
         Socket client = sendRequest(REMAINING_MS);
         server.nextRequest();
         CountDownLatch release = node.blockEventLoop();
         FakePeer.RESET.run(FakePeer.awaitNext(server.accepted), "");
-        spinUntil(System.nanoTime(), windowMs);
+        spinFor(System.nanoTime(), windowMs);
         release.countDown();
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 " + status), response);
-        assertTrue(remote.accepted.isEmpty() && server.requests.isEmpty(), "retried");
+        assertTrue(remoteServer.accepted.isEmpty() && server.requests.isEmpty(), "retried");
         assertEquals(1, node.readMetric("attempts"));
     }
 
@@ -125,93 +126,95 @@
         "unsafe, 0, 20, false",
         "unsafe, 100, 20, false"
     })
-    void retriesOnlyIfConnectTimeoutFitsIntoWindow(String repeat, int windowMs, int connectTimeoutMs, boolean repeated)
-            throws Exception {
+    void retriesOnlyIfConnectTimeoutFitsIntoWindow(
+            String idempotency, int windowMs, int connectTimeoutMs, boolean expectsRetry) throws Exception {
         server.setScript(FakePeer.RESET);
-        for (int round = 0; round < (repeated ? MAX_ROUNDS : 1) && remote.requests.isEmpty(); round++) {
-            start(repeat, windowMs, connectTimeoutMs);
+        for (int round = 0; round < (expectsRetry ? MAX_ROUNDS : 1) && remoteServer.requests.isEmpty(); round++) {
+            startNode(idempotency, windowMs, connectTimeoutMs);
             Socket client = sendRequest(REMAINING_MS);
             server.nextRequest();
             String response = FakePeer.readMessage(client);
-            assertEquals(!remote.requests.isEmpty(), response.endsWith("done"), response);
+            assertEquals(!remoteServer.requests.isEmpty(), response.endsWith("done"), response);
             node.close();
         }
-        assertEquals(repeated ? 1 : 0, remote.requests.size());
+        assertEquals(expectsRetry ? 1 : 0, remoteServer.requests.size());
         assertTrue(server.requests.isEmpty(), "retried on the same server");
     }
 
-    /** The connection for a retry is established in time, but the event loop sees it after the window. */
+    /** The connection for the retry is established in time, but the event loop sees it only after the window. */
     @ParameterizedTest
     @CsvSource({"100, 20", "100, 50"})
     void doesNotSendRetryOnConnectionSeenAfterWindow(int windowMs, int connectTimeoutMs) throws Exception {
-        boolean crossed = false;
-        for (int round = 0; round < MAX_ROUNDS && !crossed; round++) {
+        boolean retryConnected = false;
+        for (int round = 0; round < MAX_ROUNDS && !retryConnected; round++) {
             server.setScript(FakePeer.SILENT);
-            start("keyed", windowMs, connectTimeoutMs);
+            startNode("keyed", windowMs, connectTimeoutMs);
             Socket client = sendRequest(REMAINING_MS);
             server.nextRequest();
-            CountDownLatch seeFailure = node.blockEventLoop();
+            CountDownLatch releaseFailure = node.blockEventLoop();
             FakePeer.RESET.run(FakePeer.awaitNext(server.accepted), "");
             CountDownLatch blocked = new CountDownLatch(1);
             CountDownLatch release = blockAfterConnect(blocked);
-            seeFailure.countDown();
+            releaseFailure.countDown();
             assertTrue(blocked.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
             long blockedNs = System.nanoTime();
-            crossed = remote.accepted.poll(ACCEPT_PATIENCE_MS, TimeUnit.MILLISECONDS) != null;
-            spinUntil(blockedNs, windowMs);
-            assertTrue(remote.requests.isEmpty(), "event loop not blocked in time");
+            retryConnected = remoteServer.accepted.poll(ACCEPT_TIMEOUT_MS, TimeUnit.MILLISECONDS) != null;
+            spinFor(blockedNs, windowMs);
+            assertTrue(remoteServer.requests.isEmpty(), "event loop not blocked in time");
             release.countDown();
             String response = FakePeer.readMessage(client);
-            assertTrue(remote.requests.isEmpty(), "sent after its window");
+            assertTrue(remoteServer.requests.isEmpty(), "sent after its window");
             assertTrue(response.startsWith("HTTP/1.1 503"), response);
             node.close();
         }
-        assertTrue(crossed, "no retry was due");
+        assertTrue(retryConnected, "no round started a retry");
     }
 
-    /** The connection for the first attempt is established in time, but seen after the connect timeout. */
+    /** The connection for the first attempt is established in time, but seen only after the connect timeout. */
     @ParameterizedTest
     @CsvSource({"unsafe, 0, 20", "unsafe, 100, 50", "keyed, 0, 50"})
-    void sendsFirstAttemptOnceOnConnectionSeenLate(String repeat, int windowMs, int connectTimeoutMs) throws Exception {
-        start(repeat, windowMs, connectTimeoutMs);
+    void sendsFirstAttemptOnceOnConnectionSeenLate(String idempotency, int windowMs, int connectTimeoutMs)
+            throws Exception {
+        startNode(idempotency, windowMs, connectTimeoutMs);
         Socket client = node.connect();
-        // The node has accepted it: the request is all that is left to be seen.
+        // The node has now accepted the connection; the next event on it is the arrival of the request.
         FakePeer.write(client, "GET /ready HTTP/1.1\r\n\r\n");
         assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
-        CountDownLatch seeRequest = node.blockEventLoop();
+        CountDownLatch releaseRequest = node.blockEventLoop();
         sendRequest(client, REMAINING_MS);
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = blockAfterConnect(blocked);
-        seeRequest.countDown();
+        releaseRequest.countDown();
         assertTrue(blocked.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         FakePeer.awaitNext(server.accepted);
-        spinUntil(System.nanoTime(), connectTimeoutMs);
+        spinFor(System.nanoTime(), connectTimeoutMs);
         assertTrue(server.requests.isEmpty(), "event loop not blocked in time");
         release.countDown();
         String response = FakePeer.readMessage(client);
         assertTrue(response.endsWith("done"), response);
-        assertEquals(1, server.requests.size() + remote.requests.size());
+        assertEquals(1, server.requests.size() + remoteServer.requests.size());
     }
 
-    /** The response or the failure arrives in the iteration of the event loop in which the deadline passes. */
+    /** The response or the failure arrives in the same iteration of the event loop as the deadline. */
     @ParameterizedTest
     @CsvSource({"unsafe, 0, true", "unsafe, 100, false", "keyed, 0, false", "keyed, 100, true"})
-    void startsNoAttemptAfterOutcomeAtDeadline(String repeat, int windowMs, boolean answered) throws Exception {
+    void startsNoAttemptAfterOutcomeAtDeadline(String idempotency, int windowMs, boolean serverResponds)
+            throws Exception {
         int remainingMs = 400;
         server.setScript(FakePeer.SILENT);
-        start(repeat, windowMs, 20);
-        long fromNs = System.nanoTime();
+        startNode(idempotency, windowMs, 20);
+        long sentNs = System.nanoTime();
         Socket client = sendRequest(remainingMs);
         server.nextRequest();
         CountDownLatch release = node.blockEventLoop();
-        FakePeer.Script end = answered ? Fixture.RESPOND_OK : FakePeer.RESET;
-        end.run(FakePeer.awaitNext(server.accepted), "");
-        spinUntil(fromNs, 2L * remainingMs);
+        FakePeer.Script outcome = serverResponds ? Fixture.RESPOND_OK : FakePeer.RESET;
+        outcome.run(FakePeer.awaitNext(server.accepted), "");
+        spinFor(sentNs, 2L * remainingMs);
         release.countDown();
         String response = FakePeer.readMessage(client);
-        assertTrue(response.startsWith("HTTP/1.1 5") || (answered && response.endsWith("done")), response);
-        assertTrue(!repeat.equals("unsafe") || !response.startsWith("HTTP/1.1 503"), response);
+        assertTrue(response.startsWith("HTTP/1.1 5") || (serverResponds && response.endsWith("done")), response);
+        assertTrue(!idempotency.equals("unsafe") || !response.startsWith("HTTP/1.1 503"), response);
         node.awaitMetric("in_flight", 0);
-        assertTrue(remote.accepted.isEmpty() && server.requests.isEmpty(), "retried");
+        assertTrue(remoteServer.accepted.isEmpty() && server.requests.isEmpty(), "retried");
     }
 }
--- a/node/src/test/java/tansypass/node/SlowPeerTest.java
+++ b/node/src/test/java/tansypass/node/SlowPeerTest.java
@@ -18,20 +18,21 @@
 import tansypass.node.lifecycle.DescriptorLimiter;
 
 /**
- * Clients and servers that send a byte at a time get a complete response or a rejection in time. The event loop runs
- * once after each byte; between the bytes of a message that never ends, another client is served.
+ * Clients and servers that send single bytes. Such a client gets a complete response or a rejection in time, and the
+ * node serves another client meanwhile. The event loop runs at least once after each byte, which the node therefore
+ * receives separately.
  */
 @Timeout(120)
 class SlowPeerTest extends RunningNodeTestBase {
     private static final int BODY_LENGTH = 300;
     private static final int RECEIVE_BUFFER_BYTES = 1_024;
-    /** Tolerance for a busy machine. */
-    private static final int SLACK_MS = 2_000;
-    /** Until when a client whose request takes too long is rejected: its timeout and one check interval. */
-    private static final int REJECTED_WITHIN_MS = 2_700 + SLACK_MS;
+    /** The tolerance for a busy machine. */
+    private static final int TOLERANCE_MS = 2_000;
+    /** The time within which a request that never completes is rejected: its timeout and one check interval. */
+    private static final int REJECTION_LIMIT_MS = 2_700 + TOLERANCE_MS;
 
-    /** Sets of settings: times, and how many descriptors there are. */
-    enum Bounds {
+    /** Limits of a node: the latency objective and deadline of requests, and the number of descriptors. */
+    enum Limits {
         WIDE(10_000, 30_000, 1_024),
         NARROW(1_500, 2_000, DescriptorLimiter.RESERVE + 8),
         BRIEF(400, 800, 256);
@@ -40,30 +41,30 @@
         final int deadlineMs;
         final int descriptors;
 
-        Bounds(int objectiveMs, int deadlineMs, int descriptors) {
+        Limits(int objectiveMs, int deadlineMs, int descriptors) {
             this.objectiveMs = objectiveMs;
             this.deadlineMs = deadlineMs;
             this.descriptors = descriptors;
         }
     }
 
-    private void start(Bounds bounds) throws Exception {
+    private void startNode(Limits limits) throws Exception {
         JsonObject json = Fixture.createConfig(discovery.peer, server);
         for (JsonElement requestClass : json.getAsJsonObject("settings").getAsJsonArray("classes")) {
             if (requestClass.getAsJsonObject().get("name").getAsString().equals("slow")) {
-                // The class of the other clients, whose requests may take longer than the bounds on a busy machine.
+                // The other clients' requests, which may exceed these limits on a busy machine, are of this class.
                 continue;
             }
-            requestClass.getAsJsonObject().addProperty("onTimeUs", 1_000 * bounds.objectiveMs);
-            requestClass.getAsJsonObject().addProperty("giveUpUs", 1_000 * bounds.deadlineMs);
+            requestClass.getAsJsonObject().addProperty("onTimeUs", 1_000 * limits.objectiveMs);
+            requestClass.getAsJsonObject().addProperty("giveUpUs", 1_000 * limits.deadlineMs);
         }
-        json.getAsJsonObject("limits").addProperty("sockets", bounds.descriptors);
+        json.getAsJsonObject("limits").addProperty("sockets", limits.descriptors);
         node = new RunningNode(json);
     }
 
-    private static String request(Bounds bounds, String method, String path, long id, String body) {
+    private static String request(Limits limits, String method, String path, long id, String body) {
         return Fixture.formatRequest(method, path, id, "", body)
-                .replace("Ms: " + Fixture.REMAINING_MS, "Ms: " + bounds.deadlineMs);
+                .replace("Ms: " + Fixture.REMAINING_MS, "Ms: " + limits.deadlineMs);
     }
 
     private void writeByByte(Socket to, String text) throws Exception {
@@ -76,17 +77,17 @@
 
     private void assertServed(long id) throws Exception {
         try (Socket other = node.connect()) {
-            FakePeer.write(other, request(Bounds.WIDE, "POST", "/slow", id, ""));
+            FakePeer.write(other, request(Limits.WIDE, "POST", "/slow", id, ""));
             String response = FakePeer.readMessage(other);
             assertTrue(response != null && response.endsWith("done"), response);
         }
     }
 
-    /** Runs more slow connections than there are descriptors for clients, one after the other. */
+    /** Opens more slow connections, one after another, than there are descriptors for clients. */
     @ParameterizedTest
     @EnumSource(names = {"WIDE", "NARROW"})
-    void relaysCompleteMessagesSentByteByByteAndServesOthers(Bounds bounds) throws Exception {
-        start(bounds);
+    void relaysCompleteMessagesSentByteByByteAndServesOthers(Limits limits) throws Exception {
+        startNode(limits);
         String body = "b".repeat(BODY_LENGTH);
         for (int round = 0; round < 12; round++) {
             long slowId = 100L + round;
@@ -115,7 +116,7 @@
                 slow.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
                 slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
                 slow.connect(new InetSocketAddress("127.0.0.1", node.port));
-                String request = request(bounds, "POST", "/order", slowId, body);
+                String request = request(limits, "POST", "/order", slowId, body);
                 writeByByte(slow, request.substring(0, request.length() - 1));
                 assertServed(1_000 + round);
                 writeByByte(slow, request.substring(request.length() - 1));
@@ -140,22 +141,22 @@
         node.awaitMetric("in_flight", 0);
     }
 
-    /** The bytes of a head or of a body keep arriving. */
+    /** The bytes of the request's head or body keep arriving, but it never ends. */
     @ParameterizedTest
     @CsvSource({"WIDE, GET", "NARROW, GET", "WIDE, POST", "NARROW, POST"})
-    void rejectsRequestThatIsNeverCompleteInTime(Bounds bounds, String method) throws Exception {
-        start(bounds);
+    void rejectsRequestThatIsNeverCompleteInTime(Limits limits, String method) throws Exception {
+        startNode(limits);
         Socket slow = node.connect();
-        long fromNs = System.nanoTime();
+        long startNs = System.nanoTime();
         String started = method.equals("GET")
                 ? "GET /view HTTP/1.1\r\nX-Pad: "
-                : request(bounds, "POST", "/order", 1, "").replace("Length: 0", "Length: 1000000");
+                : request(limits, "POST", "/order", 1, "").replace("Length: 0", "Length: 1000000");
         FakePeer.write(slow, started);
         int served = 0;
         while (slow.getInputStream().available() == 0) {
             FakePeer.write(slow, "x");
             assertServed(10 + served++);
-            assertTrue(elapsedMs(fromNs) < REJECTED_WITHIN_MS, "not ended in time");
+            assertTrue(elapsedMs(startNs) < REJECTION_LIMIT_MS, "not ended in time");
         }
         String response = FakePeer.readMessage(slow);
         assertTrue(response.startsWith("HTTP/1.1 408"), response);
@@ -163,7 +164,7 @@
         node.awaitMetric("in_flight", 0);
     }
 
-    /** The bytes of a head, or of a short body of known length, keep arriving. */
+    /** The bytes of the response's head, or of its short body of known length, keep arriving, but it never ends. */
     @ParameterizedTest
     @CsvSource({
         "NARROW, GET, 'HTTP/1.1 200 OK|X-Pad: ', 503",
@@ -171,7 +172,7 @@
         "BRIEF, GET, 'HTTP/1.1 200 OK|Content-Length: 60000||', 503",
         "BRIEF, POST, 'HTTP/1.1 200 OK|X-Pad: ', 502"
     })
-    void endsAttemptWhoseResponseIsNeverCompleteInTime(Bounds bounds, String method, String head, String status)
+    void endsAttemptWhoseResponseIsNeverCompleteInTime(Limits limits, String method, String head, String status)
             throws Exception {
         String marker = String.format("%016x", 1);
         CountDownLatch started = new CountDownLatch(1);
@@ -183,10 +184,10 @@
                 Fixture.RESPOND_OK.run(socket, request);
             }
         });
-        start(bounds);
+        startNode(limits);
         Socket client = node.connect();
-        long fromNs = System.nanoTime();
-        FakePeer.write(client, request(bounds, method, method.equals("GET") ? "/view" : "/order", 1, ""));
+        long startNs = System.nanoTime();
+        FakePeer.write(client, request(limits, method, method.equals("GET") ? "/view" : "/order", 1, ""));
         Socket attempt = FakePeer.awaitNext(server.accepted);
         assertTrue(started.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         int served = 0;
@@ -194,13 +195,13 @@
             try {
                 FakePeer.write(attempt, "x");
             } catch (IOException e) {
-                // The node has closed the connection, and is about to respond.
+                // The node has closed the connection and will respond to the client.
                 Thread.onSpinWait();
             }
             assertServed(10 + served++);
-            assertTrue(elapsedMs(fromNs) < bounds.deadlineMs + SLACK_MS, "not ended in time");
+            assertTrue(elapsedMs(startNs) < limits.deadlineMs + TOLERANCE_MS, "not ended in time");
         }
-        assertTrue(elapsedMs(fromNs) >= bounds.objectiveMs - SLACK_MS / 10, "not waited for");
+        assertTrue(elapsedMs(startNs) >= limits.objectiveMs - TOLERANCE_MS / 10, "not waited for");
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 " + status), response);
         assertEquals(1, server.requests.stream().filter(r -> r.contains(marker)).count(), "retried");
@@ -208,7 +209,7 @@
         awaitEnd(attempt);
     }
 
-    /** Asserts that the connection of the attempt is closed. */
+    /** Waits until the connection of the attempt has been closed; fails if it stays open. */
     private void awaitEnd(Socket attempt) throws InterruptedException {
         Socket ended = FakePeer.awaitNext(server.ended);
         while (!ended.equals(attempt)) {
@@ -216,7 +217,7 @@
         }
     }
 
-    private static long elapsedMs(long fromNs) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fromNs);
+    private static long elapsedMs(long startNs) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
     }
 }
--- a/node/src/test/java/tansypass/node/StalledWatchTest.java
+++ b/node/src/test/java/tansypass/node/StalledWatchTest.java
@@ -22,8 +22,8 @@
 import tansypass.node.configuration.NodeConfig;
 
 /**
- * A server starts draining while the watch is stalled: the node must know of it 6 s after the stall began, and
- * 4 s after a change of the configuration. Timed by the event loop, whose timers fire in order.
+ * A server starts to drain while the watch is stalled. The node must learn this within 6 s from the start of the stall,
+ * or 4 s from a change of the configuration. The event loop measures the time, because its timers fire in order.
  */
 @Timeout(120)
 class StalledWatchTest {
@@ -31,7 +31,7 @@
     private static final long RELOAD_LIMIT_MS = 4_000;
     private static final long CHECK_INTERVAL_MS = 10;
 
-    /** What stalled watches send before they fall silent, in order; further watches send the update. */
+    /** The bytes that each stalled watch sends before it falls silent, in order; later watches send the update. */
     private final BlockingQueue<String> stalledResponses = new LinkedBlockingQueue<>();
 
     private FakePeer drainingServer;
@@ -59,12 +59,12 @@
     }
 
     private void respondToWatch(Socket watch, String request) throws IOException {
-        String stalled = stalledResponses.poll();
-        if (stalled == null) {
+        String stalledResponse = stalledResponses.poll();
+        if (stalledResponse == null) {
             Fixture.beginWatch(watch);
             Fixture.writeWatchLine(watch, Fixture.formatEndpointList(42, false, "Terminating", drainingServer));
         } else {
-            FakePeer.write(watch, stalled);
+            FakePeer.write(watch, stalledResponse);
         }
     }
 
--- a/node/src/test/java/tansypass/node/StreamedRequestTest.java
+++ b/node/src/test/java/tansypass/node/StreamedRequestTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that are forwarded while they are received; the test itself reads the servers' socket. */
+/** Requests that are forwarded while they are received. The test itself accepts and reads the node's connections. */
 @Timeout(120)
 class StreamedRequestTest extends RunningNodeTestBase {
     private static final int LENGTH = HttpStreams.LENGTH;
@@ -31,16 +31,16 @@
     private Socket client;
 
     @BeforeEach
-    void listen() throws Exception {
+    void openListener() throws Exception {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
     }
 
-    /** Starts a node with this many known servers, all of which are this test's socket. */
-    private void start(int servers) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer);
+    /** Starts a node whose endpoint list has this number of servers, all at the address of the test's listener. */
+    private void startNode(int serverCount) throws Exception {
+        JsonObject config = Fixture.createConfig(discovery.peer);
         StringBuilder targets = new StringBuilder();
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             targets.append(i == 0 ? "" : ",")
                     .append("{\"uid\":\"s-")
                     .append(i)
@@ -48,14 +48,14 @@
                     .append(listener.getLocalPort())
                     .append("\",\"az\":\"a\",\"state\":\"Ready\"}");
         }
-        json.add("known", JsonParser.parseString("{\"rev\":41,\"all\":true,\"targets\":[" + targets + "]}"));
-        node = new RunningNode(json);
+        config.add("known", JsonParser.parseString("{\"rev\":41,\"all\":true,\"targets\":[" + targets + "]}"));
+        node = new RunningNode(config);
         client = node.connect();
         client.setTcpNoDelay(true);
     }
 
     @AfterEach
-    void stopListening() throws IOException {
+    void closeListener() throws IOException {
         listener.close();
     }
 
@@ -75,7 +75,7 @@
                 .replace("Content-Length: 0\r\n", "");
     }
 
-    /** Sends the head and the first bytes of a request; returns the connection on which its head has arrived. */
+    /** Sends the head and first bytes of a request; returns the node's connection, with the head already read. */
     private Socket startUpload(int length, int sentBytes) throws IOException {
         FakePeer.write(client, formatHead(1, length));
         HttpStreams.write(client, 0, sentBytes);
@@ -86,22 +86,22 @@
 
     @Test
     void forwardsFirstBytesBeforeRequestIsComplete() throws Exception {
-        start(1);
+        startNode(1);
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
         Socket attempt = accept();
         String head = HttpStreams.readHead(attempt);
         assertTrue(head.startsWith("POST /order HTTP/1.1\r\n"), head);
         assertEquals(Integer.toString(LENGTH), FakePeer.findHeader(head, "Content-Length"));
-        byte[] got = new byte[LENGTH];
-        assertEquals(100_000, attempt.getInputStream().readNBytes(got, 0, 100_000));
+        byte[] forwarded = new byte[LENGTH];
+        assertEquals(100_000, attempt.getInputStream().readNBytes(forwarded, 0, 100_000));
         assertEquals(0, node.readMetric("in_flight"), "admitted before its last byte");
         HttpStreams.write(client, 100_000, LENGTH);
-        assertEquals(LENGTH - 100_000, attempt.getInputStream().readNBytes(got, 100_000, LENGTH - 100_000));
-        assertArrayEquals(BODY, got);
+        assertEquals(LENGTH - 100_000, attempt.getInputStream().readNBytes(forwarded, 100_000, LENGTH - 100_000));
+        assertArrayEquals(BODY, forwarded);
         FakePeer.write(attempt, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
-        // The connections are reused, by short requests and long ones.
+        // The connections are reused, by both short and long requests.
         respondToAll(attempt);
         Thread acceptor = new Thread(() -> {
             try {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Responds to all further requests on a connection, on a thread of its own. */
+    /** Responds to all further requests on a connection, on a new thread. */
     private static void respondToAll(Socket connection) {
         Thread thread = new Thread(() -> {
             try {
@@ -140,7 +140,7 @@
 
     @Test
     void forwardsChunksWithTrailersReceivedByteByByte() throws Exception {
-        start(1);
+        startNode(1);
         String text = formatChunkedHead(1) + "3;ext=1\r\nabc\r\n";
         for (int i = 0; i < text.length(); i++) {
             FakePeer.write(client, text.substring(i, i + 1));
@@ -150,19 +150,19 @@
         Socket attempt = accept();
         assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(attempt), "Transfer-Encoding"));
         FakePeer.write(client, "\r\n0\r\nX-Sum: 1\r\n\r\n");
-        int got = 0;
+        int forwardedBytes = 0;
         for (int size = HttpStreams.readChunkSize(attempt); size > 0; size = HttpStreams.readChunkSize(attempt)) {
-            got += attempt.getInputStream().readNBytes(size).length;
+            forwardedBytes += attempt.getInputStream().readNBytes(size).length;
             attempt.getInputStream().readNBytes(2);
         }
-        assertEquals(LENGTH + 3, got);
+        assertEquals(LENGTH + 3, forwardedBytes);
         FakePeer.write(attempt, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
     @Test
     void sends100ContinueToClientThatExpectsIt() throws Exception {
-        start(1);
+        startNode(1);
         FakePeer.write(client, formatHead(1, LENGTH).replace("X-Org", "Expect: 100-continue\r\nX-Org"));
         assertTrue(HttpStreams.readHead(client).startsWith("HTTP/1.1 100 "));
         HttpStreams.write(client, 0, LENGTH);
@@ -175,7 +175,7 @@
 
     @Test
     void neverCompletesIncompleteRequestAtServer() throws Exception {
-        start(1);
+        startNode(1);
         // The client disconnects, sends a malformed chunk, or sends nothing more.
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
@@ -191,9 +191,10 @@
             FakePeer.write(client, "\r\n" + rest);
             attempt = accept();
             HttpStreams.readHead(attempt);
-            byte[] got = attempt.getInputStream().readAllBytes();
-            String end = new String(Arrays.copyOfRange(got, got.length - 7, got.length), StandardCharsets.ISO_8859_1);
-            assertTrue(!end.endsWith("\r\n0\r\n\r\n"), "ended as if it were complete");
+            byte[] forwarded = attempt.getInputStream().readAllBytes();
+            String forwardedEnd = new String(
+                    Arrays.copyOfRange(forwarded, forwarded.length - 7, forwarded.length), StandardCharsets.ISO_8859_1);
+            assertTrue(!forwardedEnd.endsWith("\r\n0\r\n\r\n"), "ended as if it were complete");
             assertTrue(HttpStreams.readHead(client).startsWith(rest.isEmpty() ? "HTTP/1.1 408" : "HTTP/1.1 400"));
             client.close();
         }
@@ -203,7 +204,7 @@
 
     @Test
     void retriesOnNextServerWhileBodyIsReplayable() throws Exception {
-        start(2);
+        startNode(2);
         int length = 100_000;
         Socket first = startUpload(length, length - 1);
         FakePeer.write(first, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
@@ -217,7 +218,7 @@
 
     @Test
     void rejectsRequestAndClosesConnectionWhenBodyIsNotReplayable() throws Exception {
-        start(2);
+        startNode(2);
         Socket first = startUpload(LENGTH, LENGTH - 1);
         first.getInputStream().readNBytes(LENGTH - 1);
         FakePeer.RESET.run(first, "");
@@ -229,7 +230,7 @@
 
     @Test
     void doesNotForwardSuccessForIncompleteRequest() throws Exception {
-        start(1);
+        startNode(1);
         Socket attempt = startUpload(LENGTH, 100_000);
         FakePeer.write(attempt, RESPONSE);
         String response = FakePeer.readMessage(client);
@@ -238,15 +239,15 @@
 
     @Test
     void stopsReadingFromClientWhileServerDoesNotRead() throws Exception {
-        start(1);
+        startNode(1);
         int length = 32 << 20;
         FakePeer.write(client, formatHead(1, length));
-        AtomicInteger written = new AtomicInteger();
+        AtomicInteger writtenBytes = new AtomicInteger();
         Thread writer = new Thread(() -> {
             try {
-                while (written.get() < length) {
+                while (writtenBytes.get() < length) {
                     client.getOutputStream().write(new byte[1 << 16]);
-                    written.addAndGet(1 << 16);
+                    writtenBytes.addAndGet(1 << 16);
                 }
             } catch (IOException e) {
                 return;
@@ -255,18 +256,18 @@
         writer.start();
         Socket attempt = accept();
         HttpStreams.readHead(attempt);
-        // Until all is written, or nothing more was during 2,000 iterations of the event loop.
-        int last = 0;
-        for (int iterations = 0; iterations < 2_000 && last < length; iterations++) {
+        // Ends when all is written, or when nothing was written during 2,000 iterations of the event loop.
+        int lastWritten = 0;
+        for (int iterations = 0; iterations < 2_000 && lastWritten < length; iterations++) {
             node.loop.submit(() -> {}).get();
-            iterations = written.get() == last ? iterations : 0;
-            last = written.get();
+            iterations = writtenBytes.get() == lastWritten ? iterations : 0;
+            lastWritten = writtenBytes.get();
         }
-        assertTrue(last < length / 2, "bytes that the node and its sockets took: " + last);
-        byte[] some = new byte[1 << 16];
-        int got = 0;
-        while (got < length) {
-            got += attempt.getInputStream().read(some, 0, Math.min(some.length, length - got));
+        assertTrue(lastWritten < length / 2, "bytes that the node and its sockets took: " + lastWritten);
+        byte[] buffer = new byte[1 << 16];
+        int readBytes = 0;
+        while (readBytes < length) {
+            readBytes += attempt.getInputStream().read(buffer, 0, Math.min(buffer.length, length - readBytes));
         }
         FakePeer.write(attempt, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -33,7 +33,7 @@
 import tansypass.node.upstream.UpstreamConnectionPool;
 import tansypass.platform.EndpointListJsonReader;
 
-/** ResponseFactory that are forwarded while they are received. */
+/** Responses that are forwarded while they are received. */
 @Timeout(120)
 class StreamedResponseTest extends RunningNodeTestBase {
     private static final int LENGTH = HttpStreams.LENGTH;
@@ -48,7 +48,7 @@
         client = node.connect();
     }
 
-    /** Sends a request and the head of its response; returns the server's connection, to send the body on. */
+    /** Sends a request and the head of its response, and returns the server's connection for sending the body. */
     private Socket startResponse(String request, String head) throws Exception {
         FakePeer.write(client, request);
         server.nextRequest();
@@ -70,12 +70,12 @@
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
         assertEquals(Integer.toString(LENGTH), FakePeer.findHeader(head, "Content-Length"));
         assertEquals("image/x", FakePeer.findHeader(head, "Content-Type"));
-        byte[] got = new byte[LENGTH];
-        assertEquals(1_000, client.getInputStream().readNBytes(got, 0, 1_000));
+        byte[] received = new byte[LENGTH];
+        assertEquals(1_000, client.getInputStream().readNBytes(received, 0, 1_000));
         node.awaitMetric("in_flight", 1);
         HttpStreams.write(attempt, 1_000, LENGTH);
-        assertEquals(LENGTH - 1_000, client.getInputStream().readNBytes(got, 1_000, LENGTH - 1_000));
-        assertArrayEquals(BODY, got);
+        assertEquals(LENGTH - 1_000, client.getInputStream().readNBytes(received, 1_000, LENGTH - 1_000));
+        assertArrayEquals(BODY, received);
         node.awaitMetric("requests.view.served", 1);
         node.awaitMetric("in_flight", 0);
         // The client's connection stays usable.
@@ -92,14 +92,14 @@
         for (String piece : "3;ext=1\r\nabc\r\n".split("")) {
             FakePeer.write(attempt, piece);
         }
-        // Incomplete after 50 ms, so it is streamed: the head arrives before the response is complete.
+        // A response that is incomplete after 50 ms is streamed: its head arrives before it is complete.
         assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(client), "Transfer-Encoding"));
         FakePeer.write(attempt, Integer.toHexString(LENGTH) + "\r\n");
         HttpStreams.write(attempt, 0, LENGTH);
         FakePeer.write(attempt, "\r\n0\r\nX-Sum: 1\r\n\r\n");
-        byte[] got = HttpStreams.readChunkedBody(client);
-        assertEquals("abc", new String(got, 0, 3, StandardCharsets.US_ASCII));
-        assertEquals(LENGTH + 3, got.length);
+        byte[] received = HttpStreams.readChunkedBody(client);
+        assertEquals("abc", new String(received, 0, 3, StandardCharsets.US_ASCII));
+        assertEquals(LENGTH + 3, received.length);
         node.awaitMetric("requests.view.served", 1);
     }
 
@@ -151,9 +151,9 @@
 
     @Test
     void abortsShortResponseAtItsDeadlineButNotLongOne() throws Exception {
-        String shortDeadline = get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 500");
-        Socket attempt =
-                startResponse(shortDeadline, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+        String requestWithShortDeadline = get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 500");
+        Socket attempt = startResponse(
+                requestWithShortDeadline, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         HttpStreams.readHead(client);
         assertThrows(IOException.class, () -> HttpStreams.readChunkedBody(client));
         node.awaitMetric("requests.view.failed", 1);
@@ -161,16 +161,17 @@
         assertEquals(attempt, FakePeer.awaitNext(server.ended));
         int port = client.getPort();
         client = Fixture.connect(port);
-        Socket flowing = startResponse(
-                shortDeadline.replace("0001\r", "0002\r"), "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
-        HttpStreams.write(flowing, 0, 100_000);
+        Socket longAttempt = startResponse(
+                requestWithShortDeadline.replace("0001\r", "0002\r"),
+                "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
+        HttpStreams.write(longAttempt, 0, 100_000);
         HttpStreams.readHead(client);
-        // The next request is sent later with the same timeout: once it has failed, this one's deadline has passed.
+        // The third request has the same timeout. When it has failed, the second request's deadline has passed.
         try (Socket other = new Socket("127.0.0.1", port)) {
-            FakePeer.write(other, shortDeadline.replace("0001\r", "0003\r"));
+            FakePeer.write(other, requestWithShortDeadline.replace("0001\r", "0003\r"));
             assertTrue(!FakePeer.readMessage(other).startsWith("HTTP/1.1 200"));
         }
-        HttpStreams.write(flowing, 100_000, LENGTH);
+        HttpStreams.write(longAttempt, 100_000, LENGTH);
         assertArrayEquals(BODY, client.getInputStream().readNBytes(LENGTH));
         node.awaitMetric("requests.view.served", 1);
     }
@@ -181,15 +182,15 @@
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
         HttpStreams.readHead(client);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_200);
+        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_200);
         assertEquals(6, client.getInputStream().readNBytes(6).length);
         String chunk = "400\r\n" + "a".repeat(1_024) + "\r\n";
-        for (int sent = 0; System.nanoTime() < until && sent < 62; sent++) {
+        for (int sentChunks = 0; System.nanoTime() < untilNs && sentChunks < 62; sentChunks++) {
             FakePeer.write(attempt, chunk);
             assertEquals(
                     chunk.length(),
                     client.getInputStream().readNBytes(chunk.length()).length,
-                    "truncated after chunk " + sent);
+                    "truncated after chunk " + sentChunks);
             assertNull(server.ended.poll(20, TimeUnit.MILLISECONDS));
         }
         FakePeer.write(attempt, "0\r\n\r\n");
@@ -200,20 +201,20 @@
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked", "Connection: close", "Content-Length: 9000000"})
     void abortsTricklingResponseSoonAfterItsDeadline(String framing) throws Exception {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         Socket attempt = startResponse(
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n1\r\na\r\n");
         HttpStreams.readHead(client);
-        long giveUpAt = from + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-        while (server.ended.poll(20, TimeUnit.MILLISECONDS) == null && System.nanoTime() < giveUpAt) {
+        long timeoutNs = startNs + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        while (server.ended.poll(20, TimeUnit.MILLISECONDS) == null && System.nanoTime() < timeoutNs) {
             try {
                 FakePeer.write(attempt, "1\r\na\r\n");
             } catch (IOException e) {
-                // The close is seen here before the fake's reading thread reports it.
+                // This thread sees the close of the connection before the reading thread of the fake server reports it.
             }
         }
-        assertTrue(System.nanoTime() < giveUpAt, "the response still trickles");
+        assertTrue(System.nanoTime() < timeoutNs, "the response was not aborted");
         assertThrows(IOException.class, () -> client.getInputStream().readAllBytes());
         node.awaitMetric("requests.view.failed", 1);
         node.awaitMetric("in_flight", 0);
@@ -265,7 +266,7 @@
         assertTrue(server.requests.isEmpty(), "retried after the client had disconnected");
     }
 
-    /** A sink that is not writable after its first part, until the test sets {@code writable}. */
+    /** A sink that is not writable until the test sets {@code writable}. */
     private static final class PausingSink implements ResponseBodySink, AttemptHandler {
         final CountDownLatch started = new CountDownLatch(1);
         final CountDownLatch finished = new CountDownLatch(1);
--- a/node/src/test/java/tansypass/node/UnreadRequestTest.java
+++ b/node/src/test/java/tansypass/node/UnreadRequestTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The remaining time sent to servers counts the time in which a request waited unread in a socket buffer. */
+/** The remaining time that servers are sent is reduced by the time that a request waited unread in a socket buffer. */
 @Timeout(60)
 class UnreadRequestTest extends RunningNodeTestBase {
     private static final int STALL_MS = 300;
@@ -29,14 +29,14 @@
         return Long.parseLong(FakePeer.findHeader(server.nextRequest(), "X-Remaining-Ms"));
     }
 
-    /** Waits until the clock that the node reads has advanced. */
-    private static void waitUntil(long sinceNs, long durationMs) {
-        while (System.nanoTime() - sinceNs < TimeUnit.MILLISECONDS.toNanos(durationMs)) {
+    /** Waits until the clock that the node uses has advanced by the duration. */
+    private static void spinFor(long startNs, long durationMs) {
+        while (System.nanoTime() - startNs < TimeUnit.MILLISECONDS.toNanos(durationMs)) {
             Thread.onSpinWait();
         }
     }
 
-    /** The request waits on an accepted connection, or on one that waits to be accepted. */
+    /** The request waits on a connection that has been accepted, or on one that is still in the accept queue. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void deductsTimeInSocketBufferFromRemainingTime(boolean accepted) throws Exception {
@@ -51,7 +51,7 @@
         Socket sender = accepted ? client : node.connect();
         FakePeer.write(sender, get(2));
         long sentNs = System.nanoTime();
-        waitUntil(sentNs, STALL_MS);
+        spinFor(sentNs, STALL_MS);
         release.countDown();
         assertServed(sender);
         long remainingMs = nextRemainingMs();
@@ -63,14 +63,14 @@
         node = new RunningNode(Fixture.createConfig(discovery.peer, server));
         CountDownLatch release = node.blockEventLoop();
         Socket client = node.connect();
-        waitUntil(System.nanoTime(), STALL_MS);
+        spinFor(System.nanoTime(), STALL_MS);
         release.countDown();
-        // By this response the connection has been accepted.
+        // When this response arrives, the earlier connection has been accepted.
         Socket other = node.connect();
         FakePeer.write(other, get(1));
         assertServed(other);
         server.nextRequest();
-        waitUntil(System.nanoTime(), FIRST_BYTES_GRACE_MS);
+        spinFor(System.nanoTime(), FIRST_BYTES_GRACE_MS);
         FakePeer.write(client, get(2));
         assertServed(client);
         long remainingMs = nextRemainingMs();
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -24,7 +24,7 @@
 import tansypass.platform.NodeConfigJsonReader;
 import tansypass.platform.SocketAddressParser;
 
-/** The warm-up that precedes readiness. */
+/** The warm-up of a node before it reports that it is ready. */
 @Timeout(120)
 class WarmUpTest {
     private static final HotSpotDiagnosticMXBean JVM =
@@ -57,7 +57,7 @@
         }
     }
 
-    /** As on a machine that is too slow: the warm-up times out while its requests wait for connections. */
+    /** Simulates a machine that is too slow: the warm-up times out while its requests wait for connections. */
     @Test
     void completesWhenItTimesOutWithRequestsInFlight() throws Exception {
         EventLoopGroup group = new TestEventLoopGroup(NioIoHandler.newFactory());
@@ -66,7 +66,7 @@
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 SocketChannel first = SocketChannel.open();
                 SocketChannel second = SocketChannel.open()) {
-            // A listener with a full accept queue leaves handshakes unanswered.
+            // While the accept queue of a listener is full, the kernel answers no further handshake.
             for (SocketChannel filler : List.of(first, second)) {
                 filler.configureBlocking(false);
                 filler.connect(listener.getLocalSocketAddress());
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -29,7 +29,7 @@
 import tansypass.node.endpoint.EndpointList;
 import tansypass.platform.EndpointListJsonReader;
 
-/** The messages that a watch delivers and its failures, each of which is reported once. */
+/** The messages that a watch delivers, and its failures, each of which must be reported once. */
 @Timeout(120)
 class EndpointWatchTest implements EndpointWatch.Listener {
     private final BlockingQueue<EndpointList> lists = new LinkedBlockingQueue<>();
@@ -202,7 +202,7 @@
         assertEquals("response timeout", FakePeer.awaitNext(failures));
     }
 
-    /** Timed by the event loop: discovery queues the call and responds 1.3 s after it started. */
+    /** Discovery queues the second request and responds 1.3 s after it started, measured by the event loop. */
     @Test
     void waitsLongerForResponseAfterResponseTimeout() throws Exception {
         EventLoop loop = group.next();
--- a/node/src/test/java/tansypass/node/discovery/ExponentialBackoffTest.java
+++ b/node/src/test/java/tansypass/node/discovery/ExponentialBackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Growth, bound and jitter of the delays. */
+/** The growth, maximum and jitter of the delays. */
 class ExponentialBackoffTest {
 
     @Test
--- a/node/src/test/java/tansypass/node/request/BalancerLogTest.java
+++ b/node/src/test/java/tansypass/node/request/BalancerLogTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The balancer's lines in the operators' log, as docs/operations.md lists them. */
+/** The load balancer's lines in the operators' log, as listed in docs/operations.md. */
 class BalancerLogTest {
-    /** Held, since the logging system keeps loggers by weak references. */
+    /** Kept in a field, because the logging system references loggers only weakly. */
     private final Logger logger = Logger.getLogger("tansypass.balancer.LoadBalancer");
 
-    /** Nodes of other tests may still log on threads of their own. */
+    /** Only lines of this thread count, because nodes of other tests may still log on their threads. */
     private final Thread testThread = Thread.currentThread();
 
     private final List<String> lines = new ArrayList<>();
--- a/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
@@ -22,7 +22,7 @@
 import tansypass.node.FakePeer;
 import tansypass.node.Fixture;
 
-/** The result of an attempt in each case of the protocol. */
+/** The result that an attempt ends with, for each kind of response, failure and abort. */
 @Timeout(120)
 class UpstreamAttemptTest extends UpstreamTestBase {
     @Test
@@ -60,14 +60,14 @@
             socket.close();
         });
         assertResult(AttemptResult.RESET, (socket, request) -> {
-            // Without a length the close of the connection does not show that the response is complete.
+            // A response without a length is incomplete when the connection closes, as far as the node can tell.
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe half");
             socket.close();
         });
         assertResult(AttemptResult.RESET, FakePeer.respondRaw("NOT HTTP\r\n\r\n"));
     }
 
-    /** The connection ends in the same iteration of the event loop as the partial response, or in a later one. */
+    /** The connection ends in the iteration of the event loop that reads the partial response, or in a later one. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void truncatedResponseIsReset(boolean sameIteration) throws Exception {
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A retry may start until its deduplication window ends: the balancer relies on the connect timeout. */
+    /** The load balancer relies on the connect timeout to start retries only within their deduplication windows. */
     @ParameterizedTest
     @ValueSource(ints = {200, 400})
     void attemptWaitsForConnectionNoLongerThanConnectTimeout(int connectTimeoutMs) throws Exception {
@@ -186,7 +186,7 @@
                     openPool("127.0.0.1:" + listener.getLocalPort(), 1_000L * connectTimeoutMs, IDLE_US, 0);
             RecordingHandler waiting = new RecordingHandler(10);
             RecordingHandler cancelled = new RecordingHandler(10);
-            // Timed by the event loop, whose timers fire in order.
+            // The event loop measures the time, because its timers fire in order.
             CompletableFuture<Boolean> inTime = new CompletableFuture<>();
             loop.submit(() -> {
                         loop.schedule(
@@ -227,7 +227,7 @@
         loop.submit(() -> pool.startAttempt("s", handler).abort(AttemptResult.CANCELLED))
                 .get();
         assertEquals(AttemptResult.NOT_SENT, handler.awaitReport().result());
-        // Once established, its connection carries the next attempt: the only request that the server sees.
+        // Once established, the connection carries the next attempt, whose request is the only one sent.
         FakePeer.awaitNext(server.accepted);
         RecordingHandler next = new RecordingHandler(11);
         start(pool, next);
@@ -245,12 +245,12 @@
             CountDownLatch release = new CountDownLatch(1);
             loop.execute(() -> {
                 UpstreamAttempt attempt = pool.startAttempt("s", handler);
-                // After the connect, which is a task in the event loop's queue itself.
+                // Queued behind the connect, which is a task of the event loop too.
                 loop.execute(() -> {
                     Fixture.awaitLatch(release);
                     Runnable abort = () -> attempt.abort(AttemptResult.TIMEOUT);
                     if (connectFirst) {
-                        // Timers run after the sockets are polled.
+                        // The event loop polls its sockets before it runs timers.
                         loop.schedule(abort, 1, TimeUnit.NANOSECONDS);
                     } else {
                         loop.execute(abort);
--- a/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
@@ -23,7 +23,7 @@
 import tansypass.node.Fixture;
 import tansypass.node.endpoint.EndpointList;
 
-/** The reuse of connections: idle, in quarantine, of moved and of draining servers. */
+/** The reuse of connections that are idle, in quarantine, or belong to a moved or draining server. */
 @Timeout(120)
 class UpstreamConnectionPoolTest extends UpstreamTestBase {
     @Test
@@ -35,18 +35,18 @@
         RecordingHandler second = new RecordingHandler(2);
         start(pool, first);
         start(pool, second);
-        Socket a = FakePeer.awaitNext(used);
-        Socket b = FakePeer.awaitNext(used);
-        FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        Socket usedFirst = FakePeer.awaitNext(used);
+        Socket usedSecond = FakePeer.awaitNext(used);
+        FakePeer.write(usedFirst, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.awaitNext(
                 first.reports.isEmpty() && second.reports.isEmpty()
                         ? awaitEither(first, second)
                         : first.reports.isEmpty() ? second.reports : first.reports);
-        FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        FakePeer.write(usedSecond, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.awaitNext(awaitEither(first, second));
         RecordingHandler third = new RecordingHandler(3);
         start(pool, third);
-        assertSame(b, FakePeer.awaitNext(used));
+        assertSame(usedSecond, FakePeer.awaitNext(used));
     }
 
     @Test
@@ -77,7 +77,7 @@
             start(pool, first);
             Socket used = listener.accept();
             FakePeer.readMessage(used);
-            // From here on no further connection can be established.
+            // From now on no further connection can be established.
             queued.addAll(Fixture.fillAcceptQueue(listener));
             FakePeer.write(used, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             assertEquals(AttemptResult.OK, first.awaitReport().result());
@@ -114,7 +114,7 @@
             assertEquals(AttemptResult.OK, first.awaitReport().result());
             Socket idle = FakePeer.awaitNext(server.accepted);
             if (unsolicited == null) {
-                // Half-closed only: when the pool closes its side, it has seen this.
+                // Closes one direction only. The pool closes the other one when it has noticed this.
                 idle.shutdownOutput();
             } else {
                 FakePeer.write(idle, unsolicited);
@@ -133,7 +133,7 @@
         RecordingHandler handler = new RecordingHandler(10);
         start(openPool(server.address(), 100_000), handler);
         assertEquals(AttemptResult.OK, handler.awaitReport().result());
-        // The server never closes connections: the pool has closed this one.
+        // The server does not close connections, so this one was closed by the pool.
         FakePeer.awaitNext(server.ended);
     }
 
@@ -158,7 +158,7 @@
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
         RecordingHandler waiting = new RecordingHandler(10);
         EndpointList update = parseEndpoint(server.address(), state, 0);
-        // In one iteration of the event loop: the update arrives while the connection is being established.
+        // Both run in one iteration of the event loop: the update arrives while the connection is being established.
         loop.submit(() -> {
                     pool.startAttempt("s", waiting);
                     pool.update(update);
--- a/node/src/test/java/tansypass/node/upstream/UpstreamTestBase.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamTestBase.java
@@ -25,7 +25,7 @@
 import tansypass.platform.EndpointListJsonReader;
 import tansypass.platform.MalformedEndpointListException;
 
-/** A pool of connections to one scripted web server, with a recorder of how attempts end. */
+/** Opens a connection pool to one scripted web server, and records the results of attempts. */
 abstract class UpstreamTestBase {
     static final long IDLE_US = 60_000_000;
 
@@ -33,10 +33,10 @@
     EventLoop loop;
     FakePeer server;
 
-    /** How an attempt ended. */
+    /** The result of an attempt, and its response if there is one. */
     record Report(AttemptResult result, UpstreamResponse response) {}
 
-    /** Records how an attempt ends. */
+    /** Sends a request with a body of the given size, and records the result of the attempt. */
     static final class RecordingHandler implements AttemptHandler {
         final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
         private final int bodySize;
