--- a/node/src/main/java/tansypass/node/request/InFlightRequest.java
+++ b/node/src/main/java/tansypass/node/request/InFlightRequest.java
@@ -82,7 +82,7 @@
         fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
     }
 
-    /** Passes the request to the load balancer, which may be before its body has been received completely. */
+    /** Passes the request to the load balancer, even if its body has not been received completely yet. */
     void start() {
         exchange.setDisconnectListener(this::onClientDisconnect);
         if (exchange.isComplete()) {
--- a/node/src/main/java/tansypass/node/request/RelayDeadline.java
+++ b/node/src/main/java/tansypass/node/request/RelayDeadline.java
@@ -8,8 +8,9 @@
 
 /**
  * The deadline of a response that is being relayed. A response may continue past the request's deadline if it is long,
- * or if its length is unknown and parts of it still arrive. From then on its rate is measured: a response that is too
- * slow is aborted, because otherwise it might never end. Owns the timer of the deadline. Used on the event loop only.
+ * or if it may still turn out to be long and parts of it still arrive; any other must be complete by then. From the
+ * deadline on the rate is measured, and a response that is too slow is aborted, because otherwise it might never end.
+ * Owns the timer of the deadline. Used on the event loop only.
  */
 final class RelayDeadline implements Runnable {
     /** A response counts as still arriving at its deadline if a part of it was received within this time. */
--- a/node/src/test/java/tansypass/node/HttpStreams.java
+++ b/node/src/test/java/tansypass/node/HttpStreams.java
@@ -9,7 +9,7 @@
 
 /** Writes and reads long HTTP bodies part by part on plain sockets. */
 final class HttpStreams {
-    /** The length of the body in bytes, at which a node streams a message instead of buffering it. */
+    /** The length of the body in bytes. A node streams a message of this length instead of buffering it. */
     static final int LENGTH = 300_000;
 
     private static final byte[] BODY = new byte[LENGTH];
