--- a/node/src/test/java/tansypass/node/ChildNodeProcess.java
+++ b/node/src/test/java/tansypass/node/ChildNodeProcess.java
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Waits for the end of the output and returns all of it. Fails after {@link FakePeer#AWAIT_TIMEOUT_S} with the output
-     * so far in its message.
+     * Waits for the end of the output and returns all of it. Fails after {@link FakePeer#AWAIT_TIMEOUT_S} with the
+     * output so far in its message.
      */
     String awaitOutputEnd() throws InterruptedException {
         return output.awaitEnd(TIMEOUT);
--- a/node/src/test/java/tansypass/node/Fixture.java
+++ b/node/src/test/java/tansypass/node/Fixture.java
@@ -40,7 +40,7 @@
 
     private Fixture() {}
 
-    /** Connects to a port on loopback. Reads from the socket time out after {@link FakePeer#AWAIT_TIMEOUT_S} seconds. */
+    /** Connects to a port on loopback. A read from the socket times out after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     public static Socket connect(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
