--- a/node/src/main/java/tansypass/node/http/InboundBuffer.java
+++ b/node/src/main/java/tansypass/node/http/InboundBuffer.java
@@ -11,13 +11,13 @@
  * decoded messages use more memory. Used on one event loop only.
  */
 public final class InboundBuffer {
-    /** Small reads are merged into one chunk if they follow its first read within this interval. */
+    /** Small reads are merged into one chunk if they arrived within this interval after its first read. */
     private static final long MERGE_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private static final int MIN_CHUNK_BYTES = 512;
 
-    /** Undecoded bytes, and the {@link System#nanoTime} at which the first of them was read. */
-    private record Chunk(ByteBuf bytes, long arrivedNs) {}
+    /** Undecoded bytes, and the earliest time at which the first of them may have arrived. */
+    private record Chunk(ByteBuf bytes, long earliestArrivalNs) {}
 
     private final BodyMemoryLimiter memoryLimiter;
     private final Deque<Chunk> chunks = new ArrayDeque<>(0);
@@ -41,12 +41,16 @@
     /**
      * Copies the bytes and releases them. A slice is not kept, because it would keep the whole receive buffer in
      * memory.
+     *
+     * @param earliestArrivalNs the earliest time at which the bytes may have arrived, by {@link System#nanoTime}
      */
-    public void add(ByteBuf received, long nowNs) {
+    public void add(ByteBuf received, long earliestArrivalNs) {
         int size = received.readableBytes();
         Chunk tail = chunks.peekLast();
-        if (tail == null || tail.bytes.writableBytes() < size || nowNs - tail.arrivedNs > MERGE_INTERVAL_NS) {
-            tail = new Chunk(Unpooled.buffer(Math.max(size, MIN_CHUNK_BYTES)), nowNs);
+        if (tail == null
+                || tail.bytes.writableBytes() < size
+                || earliestArrivalNs - tail.earliestArrivalNs > MERGE_INTERVAL_NS) {
+            tail = new Chunk(Unpooled.buffer(Math.max(size, MIN_CHUNK_BYTES)), earliestArrivalNs);
             chunks.add(tail);
         }
         tail.bytes.writeBytes(received);
@@ -54,9 +58,12 @@
         addToTotals(size);
     }
 
-    /** Returns the {@link System#nanoTime} at which the oldest chunk was read. The buffer must not be empty. */
+    /**
+     * Returns the earliest time at which the first byte of the oldest chunk may have arrived, by
+     * {@link System#nanoTime}. The buffer must not be empty.
+     */
     public long oldestArrivalNs() {
-        return chunks.peek().arrivedNs;
+        return chunks.peek().earliestArrivalNs;
     }
 
     /** Removes and returns the oldest chunk, which the caller must release. The buffer must not be empty. */
