--- a/node/src/main/java/tansypass/balancer/RetryRules.java
+++ b/node/src/main/java/tansypass/balancer/RetryRules.java
@@ -18,7 +18,7 @@
                 || nowUs >= pending.deadlineAtUs()
                 || pending.hasResponseStarted()
                 || !pending.isBodyReplayable()
-                || isResponseWorthless(pending, nowUs)) {
+                || hasNoValue(pending, nowUs)) {
             return false;
         }
         Attempt earliest = pending.earliestPossiblyExecutedOrNull();
@@ -58,8 +58,8 @@
         };
     }
 
-    /** Returns whether a response is worthless by now, in which case no server should work on the request. */
-    boolean isResponseWorthless(PendingRequest pending, long nowUs) {
+    /** Returns whether a response has no value by now. In that case no server should work on the request. */
+    boolean hasNoValue(PendingRequest pending, long nowUs) {
         return pending.requestClass().residualWeight() == 0 && nowUs >= pending.objectiveAtUs();
     }
 
@@ -70,13 +70,13 @@
         if (isRetriedAfterFailure(pending.requestClass())) {
             return true;
         }
-        // This client retries only after a rejection: fail the request if a response to the retry would be worthless.
-        return pending.earliestPossiblyExecutedOrNull() == null && !isResponseWorthless(pending, nowUs);
+        // This client retries only after a rejection: fail the request if a response to the retry would have no value.
+        return pending.earliestPossiblyExecutedOrNull() == null && !hasNoValue(pending, nowUs);
     }
 
     /**
      * Returns the time at which an attempt times out, which is normally the request's deadline. Departure from
-     * ServiceQ: it is the end of the latency objective if a late response is worthless and the client does not retry
+     * ServiceQ: it is the end of the latency objective if a late response has no value and the client does not retry
      * failures.
      */
     long attemptDeadlineUs(PendingRequest pending) {
--- a/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
+++ b/node/src/main/java/tansypass/balancer/WeightedTwoChoicesLoadBalancer.java
@@ -109,7 +109,7 @@
         PendingRequest pending = new PendingRequest(request, settings, receivingBody, elapsedUs, nowUs);
         requests.add(pending);
         queue.prioritize(pending, nowUs);
-        if (rules.isResponseWorthless(pending, nowUs)) {
+        if (rules.hasNoValue(pending, nowUs)) {
             requests.reject(pending, nowUs);
             return;
         }
--- a/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
+++ b/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
@@ -109,7 +109,7 @@
 
     @Test
     void rejectsClientRetryThatArrivesAfterLatencyObjective() {
-        // Guards against an overloaded cluster that spends most of its work on attempts whose response is worthless.
+        // Guards against an overloaded cluster that spends most of its work on attempts whose response has no value.
         BalancerHarness node = new BalancerHarness().withServers(2);
         for (int i = 0; i < 10; i++) {
             node.endAttempt(node.submitRequest(BalancerHarness.IDEMPOTENT, 500_000), AttemptResult.OK, 10_000);
