--- a/node/src/test/java/tansypass/node/ClientDisconnectTest.java
+++ b/node/src/test/java/tansypass/node/ClientDisconnectTest.java
@@ -32,9 +32,9 @@
 
     /** Asserts that the next request a server receives is that of a client which stays connected. */
     private void assertOnlyConnectedClientIsForwarded() throws Exception {
-        Socket other = node.connect();
-        FakePeer.write(other, formatGet(0xff));
-        assertTrue(FakePeer.readMessage(other).startsWith("HTTP/1.1 200"));
+        Socket otherClient = node.connect();
+        FakePeer.write(otherClient, formatGet(0xff));
+        assertTrue(FakePeer.readMessage(otherClient).startsWith("HTTP/1.1 200"));
         assertEquals(CONNECTED_ID, FakePeer.findHeader(server.nextRequest(), "X-Txn"));
         assertTrue(server.requests.isEmpty(), "forwarded after the client had disconnected");
         node.awaitMetric("in_flight", 0);
@@ -103,9 +103,9 @@
 
     @Test
     void dropsRequestQueuedInBalancer() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.add("known", JsonParser.parseString(Fixture.formatEndpointList(41, true, "Terminating", server)));
-        node = new RunningNode(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.add("known", JsonParser.parseString(Fixture.formatEndpointList(41, true, "Terminating", server)));
+        node = new RunningNode(configJson);
         Socket client = node.connect();
         FakePeer.write(client, formatGet(1));
         node.awaitMetric("in_flight", 1);
@@ -121,9 +121,9 @@
 
     @Test
     void dropsPartialBodyWhileReadingIsPaused() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.add("known", JsonParser.parseString(Fixture.formatEndpointList(41, true, "Terminating", server)));
-        node = new RunningNode(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.add("known", JsonParser.parseString(Fixture.formatEndpointList(41, true, "Terminating", server)));
+        node = new RunningNode(configJson);
         String body = "x".repeat(BodyMemoryLimiter.WINDOW_BYTES + 60_000);
         Socket client = node.connect();
         FakePeer.write(client, Fixture.formatRequest("POST", "/slow", 1, "", body));
@@ -146,9 +146,9 @@
             String endpointList = Fixture.formatEndpointList(41, true, "Ready", server, server)
                     .replaceFirst("s-" + server.port(), "s-1")
                     .replaceFirst(server.address(), "127.0.0.1:" + listener.getLocalPort());
-            JsonObject json = Fixture.createConfig(discovery.peer, server);
-            json.add("known", JsonParser.parseString(endpointList));
-            node = new RunningNode(json);
+            JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+            configJson.add("known", JsonParser.parseString(endpointList));
+            node = new RunningNode(configJson);
             List<Socket> clients = new ArrayList<>();
             for (int i = 1; i <= 8; i++) {
                 Socket client = node.connect();
--- a/node/src/test/java/tansypass/node/ClientFloodTest.java
+++ b/node/src/test/java/tansypass/node/ClientFloodTest.java
@@ -26,9 +26,9 @@
     private static final int ACCEPTED_PER_ITERATION = 16;
 
     private void start(int descriptorLimit) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", descriptorLimit);
-        node = new RunningNode(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.getAsJsonObject("limits").addProperty("sockets", descriptorLimit);
+        node = new RunningNode(configJson);
     }
 
     private Socket openWithRequest(long id) throws Exception {
@@ -76,25 +76,25 @@
     @Test
     void servesRequestsAmongSilentIdleAndPartialClients() throws Exception {
         start(DESCRIPTOR_LIMIT);
-        List<Socket> partial = new ArrayList<>();
+        List<Socket> partialClients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             node.connect();
             openIdle();
             for (int j = 0; j < 5; j++) {
-                partial.add(openWithPartialRequest(1_000 + partial.size(), 10, 3));
+                partialClients.add(openWithPartialRequest(1_000 + partialClients.size(), 10, 3));
             }
             assertServed(openWithRequest(i));
         }
-        assertNull(FakePeer.readMessage(partial.get(0)), "not closed to make room");
+        assertNull(FakePeer.readMessage(partialClients.get(0)), "not closed to make room");
         assertEquals(20, server.requests.size());
     }
 
     @Test
     void closesOneIdleConnectionForEachConnectionAcceptedAtOnce() throws Exception {
         start(DESCRIPTOR_LIMIT);
-        List<Socket> idle = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
         for (int i = 0; i < MAX_CLIENTS - 1; i++) {
-            idle.add(openIdle());
+            idleClients.add(openIdle());
         }
         server.setScript(FakePeer.SILENT);
         CountDownLatch release = node.blockEventLoop();
@@ -104,32 +104,32 @@
         release.countDown();
         node.awaitMetric("in_flight", ACCEPTED_PER_ITERATION);
         release = node.blockEventLoop();
-        int closed = 0;
-        for (Socket client : idle) {
-            closed += isClosed(client) ? 1 : 0;
+        int closedCount = 0;
+        for (Socket client : idleClients) {
+            closedCount += isClosed(client) ? 1 : 0;
         }
         release.countDown();
-        assertEquals(ACCEPTED_PER_ITERATION, closed);
+        assertEquals(ACCEPTED_PER_ITERATION, closedCount);
     }
 
     @Test
     void closesRequestWithLeastProgressFirst() throws Exception {
         start(DESCRIPTOR_LIMIT);
-        Socket kept = node.connect();
-        Socket uploading = openWithPartialRequest(1, 60_000, 59_990);
+        Socket readyClient = node.connect();
+        Socket uploadingClient = openWithPartialRequest(1, 60_000, 59_990);
         for (int i = 2; i < MAX_CLIENTS - 1; i++) {
             openWithPartialRequest(i, 10, 3);
         }
         for (int i = 0; i < 3; i++) {
             // With the first response, all connections above have been accepted; with the last, they have been read.
-            assertReady(kept);
+            assertReady(readyClient);
         }
         for (int i = 0; i < 10; i++) {
             openWithPartialRequest(1_000 + i, 10, 3);
             assertServed(openWithRequest(2_000 + i));
         }
-        FakePeer.write(uploading, "x".repeat(10));
-        assertServed(uploading);
+        FakePeer.write(uploadingClient, "x".repeat(10));
+        assertServed(uploadingClient);
     }
 
     @Test
@@ -137,20 +137,20 @@
         // Descriptors for one client and one server.
         start(DescriptorLimiter.RESERVED_DESCRIPTORS + 2);
         server.setScript(FakePeer.SILENT);
-        Socket first = openWithRequest(1);
+        Socket firstClient = openWithRequest(1);
         server.nextRequest();
         long fullSinceNs = System.nanoTime();
-        Socket waiting = openWithRequest(2);
+        Socket waitingClient = openWithRequest(2);
         awaitOneSecond();
         long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - fullSinceNs);
         server.setScript(Fixture.RESPOND_OK);
-        first.close();
+        firstClient.close();
         long forwardedMs = readRemainingMs(server.nextRequest());
         assertTrue(
                 forwardedMs <= Fixture.REMAINING_MS - waitedMs,
                 forwardedMs + " ms forwarded after a wait of " + waitedMs);
-        assertServed(waiting);
-        waiting.close();
+        assertServed(waitingClient);
+        waitingClient.close();
         awaitOneSecond();
         awaitOneSecond();
         assertServed(openWithRequest(3));
--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -72,29 +72,29 @@
     @ParameterizedTest
     @CsvSource({"8, true", "8, false", "12, true", "12, false"})
     void respondsOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + sockets);
-        node = new RunningNode(json);
+        JsonObject configJson = createConfig();
+        configJson.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + sockets);
+        node = new RunningNode(configJson);
         int unreadCount = 0;
         for (int i = 1; i < 60; i += 2) {
-            Socket idle = openIdle(i);
+            Socket idleClient = openIdle(i);
             CountDownLatch release = node.blockEventLoop();
             if (requestFirst) {
-                FakePeer.write(idle, get(i + 1));
+                FakePeer.write(idleClient, get(i + 1));
             }
-            List<Socket> others = new ArrayList<>();
+            List<Socket> otherClients = new ArrayList<>();
             for (int j = 0; j < sockets; j++) {
-                others.add(node.connect());
+                otherClients.add(node.connect());
             }
             if (!requestFirst) {
-                FakePeer.write(idle, get(i + 1));
+                FakePeer.write(idleClient, get(i + 1));
             }
             release.countDown();
-            unreadCount += assertRespondedOrUnread(idle, i + 1) ? 0 : 1;
-            for (Socket other : others) {
-                other.close();
+            unreadCount += assertRespondedOrUnread(idleClient, i + 1) ? 0 : 1;
+            for (Socket otherClient : otherClients) {
+                otherClient.close();
             }
-            idle.close();
+            idleClient.close();
         }
         assertTrue(requestFirst || unreadCount > 0, "no connection was closed before its request was read");
     }
@@ -104,7 +104,7 @@
     @CsvSource({"20, 250", "300, 590", "500, 640", "580, 690"})
     void respondsOrClosesUnreadRequestDuringShutdown(long blockedFromMs, long blockedUntilMs) throws Exception {
         node = new RunningNode(createConfig());
-        Socket idle = openIdle(1);
+        Socket idleClient = openIdle(1);
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch stopped = new CountDownLatch(1);
@@ -132,9 +132,9 @@
         while (System.nanoTime() - stopStartedNs < TimeUnit.MILLISECONDS.toNanos(blockedUntilMs)) {
             Thread.onSpinWait();
         }
-        FakePeer.write(idle, get(2));
+        FakePeer.write(idleClient, get(2));
         release.countDown();
-        assertTrue(assertRespondedOrUnread(idle, 2) || blockedUntilMs > 400, "closed too early");
+        assertTrue(assertRespondedOrUnread(idleClient, 2) || blockedUntilMs > 400, "closed too early");
         if (lateClient != null) {
             assertTrue(assertRespondedOrUnread(lateClient, 3), "accepted without a response");
         }
@@ -160,13 +160,13 @@
             client.connect(new InetSocketAddress("127.0.0.1", node.port));
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "Connection: close\r\n", ""));
             server.nextRequest();
-            Socket attempt = FakePeer.awaitNext(server.accepted);
+            Socket attemptSocket = FakePeer.awaitNext(server.accepted);
             // The request is queued before the script runs; the last byte must follow the script's bytes.
             assertTrue(allButLastByteWritten.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             CountDownLatch release = node.blockEventLoop();
-            attempt.setTcpNoDelay(true);
+            attemptSocket.setTcpNoDelay(true);
             // One iteration of the event loop sees the last byte of the response, and input that is never read.
-            attempt.getOutputStream().write(body, length - 1, 1);
+            attemptSocket.getOutputStream().write(body, length - 1, 1);
             FakePeer.write(client, get(2));
             release.countDown();
             node.awaitMetric("in_flight", 0);
@@ -189,14 +189,15 @@
                 "HTTP/1.1 503 No\r\n"
             })
     void ignoresPartialResponseAndPartialWatchEventDuringShutdown(String partialResponse) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("settings")
+        JsonObject configJson = createConfig();
+        configJson
+                .getAsJsonObject("settings")
                 .getAsJsonArray("classes")
                 .get(2)
                 .getAsJsonObject()
                 .addProperty("giveUpUs", 900_000);
         server.setScript(FakePeer.respondRaw(partialResponse));
-        node = new RunningNode(json);
+        node = new RunningNode(configJson);
         Socket client = node.connect();
         FakePeer.write(
                 client,
@@ -223,27 +224,28 @@
 
     @Test
     void servesOthersAndForwardsNothingOfThousandsThatDisconnect() throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("limits").addProperty("sockets", 256);
-        node = new RunningNode(json);
+        JsonObject configJson = createConfig();
+        configJson.getAsJsonObject("limits").addProperty("sockets", 256);
+        node = new RunningNode(configJson);
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 20; round++) {
             CountDownLatch release = node.blockEventLoop();
             for (int i = 0; i < 150; i++) {
                 try (Socket client = new Socket("127.0.0.1", node.port)) {
-                    String pipelining = get(1_000 + 1_000 * round + 5 * i) + get(1_001 + 1_000 * round + 5 * i);
-                    FakePeer.write(client, pipelining.substring(0, random.nextInt(pipelining.length() + 1)));
+                    String pipelinedRequests = get(1_000 + 1_000 * round + 5 * i) + get(1_001 + 1_000 * round + 5 * i);
+                    FakePeer.write(
+                            client, pipelinedRequests.substring(0, random.nextInt(pipelinedRequests.length() + 1)));
                     client.setSoLinger(random.nextBoolean(), 0);
                 }
             }
             release.countDown();
-            Socket stays = node.connect();
-            FakePeer.write(stays, get(round));
-            assertTrue(FakePeer.readMessage(stays).endsWith("done"));
+            Socket connectedClient = node.connect();
+            FakePeer.write(connectedClient, get(round));
+            assertTrue(FakePeer.readMessage(connectedClient).endsWith("done"));
             assertTrue(
                     server.nextRequest().contains(String.format("%016x", round)),
                     "forwarded after the client had disconnected");
-            stays.close();
+            connectedClient.close();
         }
         node.awaitMetric("in_flight", 0);
         assertEquals(0, server.requests.size());
@@ -254,29 +256,30 @@
     @ParameterizedTest
     @ValueSource(ints = {200, 600})
     void servesHundredsOfPipelinedRequestsAndAnotherClientMeanwhile(int requestCount) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("settings")
+        JsonObject configJson = createConfig();
+        configJson
+                .getAsJsonObject("settings")
                 .getAsJsonArray("realms")
                 .get(0)
                 .getAsJsonObject()
                 .addProperty("quotaPerS", 0);
-        node = new RunningNode(json);
-        Socket pipelining = node.connect();
+        node = new RunningNode(configJson);
+        Socket pipeliningClient = node.connect();
         StringBuilder pipelinedRequests = new StringBuilder();
         int firstLength = 0;
         for (int i = 0; i < requestCount; i++) {
             pipelinedRequests.append(getWithin(DEADLINE_MS, 1_000 + i));
             firstLength = i < PIPELINED_FIRST ? pipelinedRequests.length() : firstLength;
         }
-        Socket other = node.connect();
+        Socket otherClient = node.connect();
         CountDownLatch release = node.blockEventLoop();
-        FakePeer.write(pipelining, pipelinedRequests.substring(0, firstLength));
-        FakePeer.write(other, getWithin(DEADLINE_MS, 1));
+        FakePeer.write(pipeliningClient, pipelinedRequests.substring(0, firstLength));
+        FakePeer.write(otherClient, getWithin(DEADLINE_MS, 1));
         release.countDown();
-        FakePeer.write(pipelining, pipelinedRequests.substring(firstLength));
-        assertTrue(FakePeer.readMessage(other).endsWith("done"));
+        FakePeer.write(pipeliningClient, pipelinedRequests.substring(firstLength));
+        assertTrue(FakePeer.readMessage(otherClient).endsWith("done"));
         for (int i = 0; i < requestCount; i++) {
-            String response = FakePeer.readMessage(pipelining);
+            String response = FakePeer.readMessage(pipeliningClient);
             assertTrue(response != null && response.endsWith("done"), i + ": " + response);
         }
         assertEquals(requestCount + 1, server.requests.size(), "forwarded and not served, or twice");
--- a/node/src/test/java/tansypass/node/EventRaceTest.java
+++ b/node/src/test/java/tansypass/node/EventRaceTest.java
@@ -43,34 +43,34 @@
     }
 
     private JsonObject createConfig(String name, String repeat, String group) {
-        JsonObject json = Fixture.createConfig(discovery.peer, server, otherServer);
-        JsonObject settings = json.getAsJsonObject("settings");
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server, otherServer);
+        JsonObject settings = configJson.getAsJsonObject("settings");
         settings.add(
                 "classes",
                 JsonParser.parseString(("[{'name':'%s','repeat':'%s','group':'%s',"
                                 + "'onTimeUs':10000000,'giveUpUs':30000000,'windowUs':9000000}]")
                         .formatted(name, repeat, group)));
-        return json;
+        return configJson;
     }
 
     @Test
     void completesRequestThatArrivesAsServerClosesIdleConnection() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        node = new RunningNode(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        node = new RunningNode(configJson);
         Socket client = node.connect();
         for (int i = 0; i < 20; i += 2) {
             FakePeer.write(client, Fixture.formatRequest("POST", "/order", i, "", ""));
             assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
-            Socket idle = FakePeer.awaitNext(server.accepted);
+            Socket idleConnection = FakePeer.awaitNext(server.accepted);
             CountDownLatch release = node.blockEventLoop();
             FakePeer.write(client, Fixture.formatRequest("POST", "/order", i + 1, "", ""));
-            idle.close();
+            idleConnection.close();
             release.countDown();
             String response = FakePeer.readMessage(client);
             assertTrue(response.startsWith("HTTP/1.1 200"), response);
             // The next round starts on the connection that this one opened.
-            Socket reopened = FakePeer.awaitNext(server.accepted);
-            reopened.shutdownOutput();
+            Socket reopenedConnection = FakePeer.awaitNext(server.accepted);
+            reopenedConnection.shutdownOutput();
             FakePeer.awaitNext(server.closedConnections);
             FakePeer.awaitNext(server.closedConnections);
         }
@@ -79,19 +79,19 @@
 
     @Test
     void closesIdleConnectionRatherThanOneWithPartialRequest() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
-        node = new RunningNode(json);
-        Socket partial = node.connect();
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
+        node = new RunningNode(configJson);
+        Socket partialClient = node.connect();
         String request = Fixture.formatRequest("GET", "/view", 1, "", "");
-        FakePeer.write(partial, request.substring(0, 30));
+        FakePeer.write(partialClient, request.substring(0, 30));
         for (int i = 2; i < 20; i++) {
             Socket client = node.connect();
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", i, "", ""));
             assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
         }
-        FakePeer.write(partial, request.substring(30));
-        String response = FakePeer.readMessage(partial);
+        FakePeer.write(partialClient, request.substring(30));
+        String response = FakePeer.readMessage(partialClient);
         assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
     }
 
@@ -123,9 +123,9 @@
         assertTrue(response.startsWith("HTTP/1.1 " + status), response);
         assertEquals(status.equals("503"), response.startsWith("HTTP/1.1 503"), response);
         node.awaitMetric("in_flight", 0);
-        int sent = server.requests.size() + otherServer.requests.size();
-        assertTrue(attempts == 1 ? sent == 1 : sent >= attempts, sent + " attempts");
-        assertEquals(sent, node.readMetric("attempts"));
+        int sentCount = server.requests.size() + otherServer.requests.size();
+        assertTrue(attempts == 1 ? sentCount == 1 : sentCount >= attempts, sentCount + " attempts");
+        assertEquals(sentCount, node.readMetric("attempts"));
     }
 
     @Test
--- a/node/src/test/java/tansypass/node/Fixture.java
+++ b/node/src/test/java/tansypass/node/Fixture.java
@@ -115,16 +115,16 @@
     }
 
     /** Writes a configuration to a temporary file. */
-    static Path writeConfigFile(JsonObject json) throws IOException {
+    static Path writeConfigFile(JsonObject configJson) throws IOException {
         Path file = Files.createTempFile("node", ".json");
         file.toFile().deleteOnExit();
-        return Files.writeString(file, json.toString());
+        return Files.writeString(file, configJson.toString());
     }
 
     /** Loads a configuration from a temporary file, as the platform's process does. */
-    static NodeConfig loadConfig(JsonObject json) throws IOException, InvalidNodeConfigException {
+    static NodeConfig loadConfig(JsonObject configJson) throws IOException, InvalidNodeConfigException {
         return new EnvironmentConfigSource(
-                        Map.of("LB_CONFIG", writeConfigFile(json).toString()))
+                        Map.of("LB_CONFIG", writeConfigFile(configJson).toString()))
                 .load();
     }
 
--- a/node/src/test/java/tansypass/node/MainTest.java
+++ b/node/src/test/java/tansypass/node/MainTest.java
@@ -72,21 +72,21 @@
     void sigtermCompletesInFlightRequestAndExitsWithZero() throws Exception {
         server.setScript(FakePeer.SILENT);
         startAndAwaitReady(createConfig());
-        Socket idle = connect();
+        Socket idleClient = connect();
         Socket client = connect();
         FakePeer.write(client, Fixture.formatRequest("POST", "/order", 1, "", "x"));
         server.nextRequest();
-        Socket attempt = FakePeer.awaitNext(server.accepted);
+        Socket attemptSocket = FakePeer.awaitNext(server.accepted);
         process.terminate();
         // For a while after SIGTERM, new clients are still accepted and served.
-        Socket late = connect();
-        FakePeer.write(late, "GET /nothing HTTP/1.1\r\n\r\n");
+        Socket lateClient = connect();
+        FakePeer.write(lateClient, "GET /nothing HTTP/1.1\r\n\r\n");
         assertTrue(
-                FakePeer.readMessage(late).startsWith("HTTP/1.1 404"),
+                FakePeer.readMessage(lateClient).startsWith("HTTP/1.1 404"),
                 "a connection opened after SIGTERM is not served");
-        assertNull(FakePeer.readMessage(idle), "an idle connection is closed after a while");
+        assertNull(FakePeer.readMessage(idleClient), "an idle connection is closed after a while");
         assertTrue(process.isAlive(), "exited with a request in flight");
-        FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        FakePeer.write(attemptSocket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
         assertEquals("close", FakePeer.findHeader(response, "Connection"));
@@ -100,21 +100,21 @@
         Socket client = connect();
         FakePeer.write(client, Fixture.formatRequest("POST", "/order", 1, "", "x"));
         server.nextRequest();
-        Socket attempt = FakePeer.awaitNext(server.accepted);
+        Socket attemptSocket = FakePeer.awaitNext(server.accepted);
         process.terminate();
         process.hangUp();
         process.terminate();
         // Once the node closes a connection after its response, it has handled SIGTERM.
         String connectionHeader = "";
         while (!"close".equals(connectionHeader)) {
-            try (Socket late = connect()) {
-                FakePeer.write(late, "GET /nothing HTTP/1.1\r\n\r\n");
-                connectionHeader = FakePeer.findHeader(FakePeer.readMessage(late), "Connection");
+            try (Socket lateClient = connect()) {
+                FakePeer.write(lateClient, "GET /nothing HTTP/1.1\r\n\r\n");
+                connectionHeader = FakePeer.findHeader(FakePeer.readMessage(lateClient), "Connection");
             }
         }
         process.hangUp();
         process.terminate();
-        FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        FakePeer.write(attemptSocket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String response = FakePeer.readMessage(client);
         assertTrue(response != null && response.endsWith("done"), response);
         assertNull(FakePeer.readMessage(client), "a second response");
@@ -155,9 +155,9 @@
             clients.add(connect());
         }
         // The node closes idle connections to make room, so that each request gets a response.
-        Socket requesting = clients.get(clients.size() - 1);
-        FakePeer.write(requesting, Fixture.formatRequest("GET", "/view", 1, "", ""));
-        String response = FakePeer.readMessage(requesting);
+        Socket requestingClient = clients.get(clients.size() - 1);
+        FakePeer.write(requestingClient, Fixture.formatRequest("GET", "/view", 1, "", ""));
+        String response = FakePeer.readMessage(requestingClient);
         assertTrue(
                 response != null && response.startsWith("HTTP/1.1 "),
                 () -> "no response while descriptors are short: " + process.killAndReadOutput());
--- a/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
+++ b/node/src/test/java/tansypass/node/MetricsAndDrainingTest.java
@@ -84,13 +84,13 @@
 
     /** Polls a value until it is as expected. Fails after {@link FakePeer#AWAIT_TIMEOUT_S}. */
     private static void awaitValue(int expected, Callable<Integer> actual, String name) throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
-        int last = actual.call();
-        while (last != expected && System.nanoTime() < deadline) {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
+        int lastValue = actual.call();
+        while (lastValue != expected && System.nanoTime() < deadlineNs) {
             Thread.onSpinWait();
-            last = actual.call();
+            lastValue = actual.call();
         }
-        assertEquals(expected, last, name);
+        assertEquals(expected, lastValue, name);
     }
 
     @Test
@@ -141,21 +141,21 @@
 
     @Test
     void failingAndDrainingServersAreCountedAsExcluded() throws Exception {
-        try (FakePeer failing = new FakePeer(FakePeer.RESET);
-                FakePeer third = new FakePeer(Fixture.RESPOND_OK)) {
-            start(server, failing, third);
+        try (FakePeer failingServer = new FakePeer(FakePeer.RESET);
+                FakePeer thirdServer = new FakePeer(Fixture.RESPOND_OK)) {
+            start(server, failingServer, thirdServer);
             assertEquals(3, readMetrics().get("node.web_servers_known"));
             assertEquals(0, readMetrics().get("node.web_servers_excluded"));
             try (Socket client = node.connect()) {
-                for (int i = 0; failing.requests.size() < 6 && i < 1_000; i++) {
+                for (int i = 0; failingServer.requests.size() < 6 && i < 1_000; i++) {
                     sendRequest(client, Fixture.formatRequest("GET", "/view", i, "", ""));
                 }
             }
             awaitMetric("node.web_servers_excluded", 1);
-            discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", third));
+            discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", thirdServer));
             awaitMetric("node.web_servers_excluded", 2);
             assertEquals(3, readMetrics().get("node.web_servers_known"));
-            discovery.publish(Fixture.formatEndpointList(43, false, "Gone", third, failing));
+            discovery.publish(Fixture.formatEndpointList(43, false, "Gone", thirdServer, failingServer));
             awaitMetric("node.web_servers_known", 1);
             awaitMetric("node.web_servers_excluded", 0);
         }
@@ -187,20 +187,20 @@
     void drainingClosesConnectionsAndLosesNoRequest() throws Exception {
         server.setScript(FakePeer.SILENT);
         start(server);
-        try (Socket idle = node.connect();
-                Socket busy = node.connect()) {
-            assertEquals(200, parseStatus(sendRequest(idle, "GET /ready HTTP/1.1\r\n\r\n")));
-            FakePeer.write(busy, Fixture.formatRequest("POST", "/order", 1, "", "x"));
+        try (Socket idleClient = node.connect();
+                Socket busyClient = node.connect()) {
+            assertEquals(200, parseStatus(sendRequest(idleClient, "GET /ready HTTP/1.1\r\n\r\n")));
+            FakePeer.write(busyClient, Fixture.formatRequest("POST", "/order", 1, "", "x"));
             server.nextRequest();
             assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/on")));
             assertEquals(200, parseStatus(callAdmin("POST", "/_lameduck/on")));
             assertEquals(503, getReadinessStatus());
-            assertNull(FakePeer.readMessage(idle), "an idle connection is closed");
+            assertNull(FakePeer.readMessage(idleClient), "an idle connection is closed");
             FakePeer.write(FakePeer.awaitNext(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            String response = FakePeer.readMessage(busy);
+            String response = FakePeer.readMessage(busyClient);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
             assertEquals("close", FakePeer.findHeader(response, "Connection"));
-            assertNull(FakePeer.readMessage(busy), "still open although the node is draining");
+            assertNull(FakePeer.readMessage(busyClient), "still open although the node is draining");
         }
         // For a short time, clients may still send requests to a node that is draining.
         server.setScript(Fixture.RESPOND_OK);
--- a/node/src/test/java/tansypass/node/ProxyNodeTest.java
+++ b/node/src/test/java/tansypass/node/ProxyNodeTest.java
@@ -48,8 +48,8 @@
     }
 
     /** Starts a node and returns the port on which it listens. */
-    private int start(JsonObject json) throws Exception {
-        node = new RunningNode(json);
+    private int start(JsonObject configJson) throws Exception {
+        node = new RunningNode(configJson);
         return node.port;
     }
 
@@ -270,9 +270,9 @@
 
     @Test
     void warmUpRequestAfterWarmUpReachesNoServer() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        client = Fixture.connect(start(json));
-        long seed = Long.parseUnsignedLong(json.get("seed").getAsString(), 16);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        client = Fixture.connect(start(configJson));
+        long seed = Long.parseUnsignedLong(configJson.get("seed").getAsString(), 16);
         String token = Long.toHexString(new SplittableRandom(seed).nextLong());
         String response = sendRequest(
                 Fixture.formatRequest("GET", "/view", 1, HttpFrontend.WARM_UP_HEADER + ": " + token + "\r\n", ""));
@@ -291,7 +291,7 @@
             FakePeer.write(keptAlive, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, parseStatus(FakePeer.readMessage(keptAlive)));
             FakePeer.write(inFlight, Fixture.formatRequest("POST", "/order", 1, "", "x"));
-            Socket attempt = FakePeer.awaitNext(server.accepted);
+            Socket attemptSocket = FakePeer.awaitNext(server.accepted);
             server.nextRequest();
             List<Socket> incomplete = new ArrayList<>();
             for (String part : List.of(
@@ -312,7 +312,7 @@
             // These two connections have been open longer than the incomplete ones.
             FakePeer.write(keptAlive, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, parseStatus(FakePeer.readMessage(keptAlive)));
-            FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            FakePeer.write(attemptSocket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             assertEquals(200, parseStatus(FakePeer.readMessage(inFlight)));
         }
     }
@@ -321,8 +321,8 @@
         BlockingQueue<LogRecord> logged = new LinkedBlockingQueue<>();
         Handler handler = new StreamHandler() {
             @Override
-            public synchronized void publish(LogRecord line) {
-                logged.add(line);
+            public synchronized void publish(LogRecord logRecord) {
+                logged.add(logRecord);
             }
         };
         Logger logger = Logger.getLogger(source.getName());
@@ -356,19 +356,19 @@
 
     @Test
     void firstLogLineIsWrittenBeforeClientsConnect() throws Exception {
-        String line = captureLog(ProxyNode.class, logged -> {
+        String logLine = captureLog(ProxyNode.class, logged -> {
             start(Fixture.createConfig(discovery.peer, server, otherServer));
             return FakePeer.awaitNext(logged).getMessage();
         });
-        assertEquals("warm-up complete known_servers=2", line);
+        assertEquals("warm-up complete known_servers=2", logLine);
     }
 
     @Test
     void requestIdInFlightIsRejectedAsAConflict() throws Exception {
         server.setScript(FakePeer.SILENT);
         int port = start(Fixture.createConfig(discovery.peer, server));
-        try (Socket other = Fixture.connect(port)) {
-            FakePeer.write(other, Fixture.formatRequest("POST", "/order", 1, "", ""));
+        try (Socket otherClient = Fixture.connect(port)) {
+            FakePeer.write(otherClient, Fixture.formatRequest("POST", "/order", 1, "", ""));
             server.nextRequest();
             client = Fixture.connect(port);
             assertEquals(409, parseStatus(sendRequest(Fixture.formatRequest("POST", "/order", 1, "", ""))));
@@ -378,9 +378,9 @@
 
     @Test
     void idleConnectionsAreClosedAtTheDescriptorLimit() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
-        int port = start(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
+        int port = start(configJson);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             client = Fixture.connect(port);
@@ -397,18 +397,19 @@
     void zonesNotInTheSettingsAreDistinguished() throws Exception {
         server.setScript(FakePeer.RESET);
         otherServer.setScript(FakePeer.RESET);
-        JsonObject json = Fixture.createConfig(discovery.peer, server, otherServer);
-        json.add(
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server, otherServer);
+        configJson.add(
                 "known",
                 JsonParser.parseString(Fixture.formatEndpointList(41, true, "Ready", server, otherServer)
                         .replaceFirst("\"az\":\"a\"", "\"az\":\"b\"")
                         .replaceFirst("\"az\":\"a\"", "\"az\":\"c\"")));
-        json.getAsJsonObject("settings")
+        configJson
+                .getAsJsonObject("settings")
                 .getAsJsonArray("classes")
                 .get(1)
                 .getAsJsonObject()
                 .addProperty("group", "zone");
-        client = Fixture.connect(start(json));
+        client = Fixture.connect(start(configJson));
         int status = parseStatus(sendRequest(Fixture.formatRequest("POST", "/photo", 1, "Idempotency-Key: k\r\n", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertEquals(200, parseStatus(sendRequest("GET /ready HTTP/1.1\r\n\r\n")));
--- a/node/src/test/java/tansypass/node/ReservedPortTestBase.java
+++ b/node/src/test/java/tansypass/node/ReservedPortTestBase.java
@@ -33,9 +33,9 @@
 
     /** Creates a configuration that listens on the reserved port. */
     final JsonObject createConfig() {
-        JsonObject json = Fixture.createConfig(discovery, server);
-        json.addProperty("listen", "127.0.0.1:" + port);
-        return json;
+        JsonObject configJson = Fixture.createConfig(discovery, server);
+        configJson.addProperty("listen", "127.0.0.1:" + port);
+        return configJson;
     }
 
     /** Asserts that a request on a new connection is served. */
--- a/node/src/test/java/tansypass/node/RunningNode.java
+++ b/node/src/test/java/tansypass/node/RunningNode.java
@@ -27,9 +27,9 @@
     private final EventLoopGroup group = new TestEventLoopGroup(DelayRoundingIoHandler.newFactory());
     private final List<Socket> clients = new ArrayList<>();
 
-    RunningNode(JsonObject json) throws Exception {
+    RunningNode(JsonObject configJson) throws Exception {
         loop = group.next();
-        NodeConfig config = Fixture.loadConfig(json);
+        NodeConfig config = Fixture.loadConfig(configJson);
         node = loop.submit(() -> new ProxyNode(config, loop)).get();
         Channel channel = loop.submit(() -> node.start(group, 8)).get().sync().getNow();
         port = ((InetSocketAddress) channel.localAddress()).getPort();
--- a/node/src/test/java/tansypass/node/ShutdownTest.java
+++ b/node/src/test/java/tansypass/node/ShutdownTest.java
@@ -33,13 +33,14 @@
     }
 
     private void start(String name, String repeat, long deadlineMs) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("settings")
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson
+                .getAsJsonObject("settings")
                 .add(
                         "classes",
                         JsonParser.parseString("[{'name':'%s','repeat':'%s',".formatted(name, repeat)
                                 + "'onTimeUs':%d,'giveUpUs':%d}]".formatted(1_000 * deadlineMs, 1_000 * deadlineMs)));
-        node = new RunningNode(json);
+        node = new RunningNode(configJson);
     }
 
     /**
@@ -86,16 +87,16 @@
     void leavesNoConnectionOpenAfterShutdown() throws Exception {
         start("view", "safe", 260);
         CompletableFuture<Boolean> inTime = stopAndCheckAfter(800);
-        List<Socket> accepted = new ArrayList<>();
+        List<Socket> acceptedClients = new ArrayList<>();
         try {
             while (!inTime.isDone()) {
-                accepted.add(node.connect());
+                acceptedClients.add(node.connect());
                 inTime.completeOnTimeout(false, FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
                 node.loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get();
             }
         } catch (IOException e) {
             // The node accepts no more connections.
-            assertTrue(accepted.size() > 10, "accepted " + accepted.size());
+            assertTrue(acceptedClients.size() > 10, "accepted " + acceptedClients.size());
         }
         assertTrue(inTime.get(), "connections are still open 0.8 s after the shutdown began");
     }
@@ -106,11 +107,11 @@
         Socket client = node.connect();
         FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "", ""));
         server.nextRequest();
-        Socket attempt = FakePeer.awaitNext(server.accepted);
-        FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "a".repeat(100_000));
+        Socket attemptSocket = FakePeer.awaitNext(server.accepted);
+        FakePeer.write(attemptSocket, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "a".repeat(100_000));
         assertEquals(100_000 - 1, client.getInputStream().readNBytes(100_000 - 1).length);
         assertTrue(!stopAndCheckAfter(1_500).get(), "stopped during a response");
-        FakePeer.write(attempt, "a".repeat(100_000));
+        FakePeer.write(attemptSocket, "a".repeat(100_000));
         byte[] remainingBytes = client.getInputStream().readAllBytes();
         assertTrue(remainingBytes.length > 100_000, "truncated after " + remainingBytes.length);
         assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
--- a/node/src/test/java/tansypass/node/SlowPeerTest.java
+++ b/node/src/test/java/tansypass/node/SlowPeerTest.java
@@ -49,8 +49,8 @@
     }
 
     private void startNode(Limits limits) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        for (JsonElement requestClass : json.getAsJsonObject("settings").getAsJsonArray("classes")) {
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        for (JsonElement requestClass : configJson.getAsJsonObject("settings").getAsJsonArray("classes")) {
             if (requestClass.getAsJsonObject().get("name").getAsString().equals("slow")) {
                 // The other clients' requests, which may exceed these limits on a busy machine, are of this class.
                 continue;
@@ -58,8 +58,8 @@
             requestClass.getAsJsonObject().addProperty("onTimeUs", 1_000 * limits.objectiveMs);
             requestClass.getAsJsonObject().addProperty("giveUpUs", 1_000 * limits.deadlineMs);
         }
-        json.getAsJsonObject("limits").addProperty("sockets", limits.descriptors);
-        node = new RunningNode(json);
+        configJson.getAsJsonObject("limits").addProperty("sockets", limits.descriptors);
+        node = new RunningNode(configJson);
     }
 
     private static String request(Limits limits, String method, String path, long id, String body) {
@@ -67,18 +67,18 @@
                 .replace("Ms: " + Fixture.REMAINING_MS, "Ms: " + limits.deadlineMs);
     }
 
-    private void writeByByte(Socket to, String text) throws Exception {
-        to.setTcpNoDelay(true);
+    private void writeByByte(Socket socket, String text) throws Exception {
+        socket.setTcpNoDelay(true);
         for (int i = 0; i < text.length(); i++) {
-            FakePeer.write(to, text.substring(i, i + 1));
+            FakePeer.write(socket, text.substring(i, i + 1));
             node.loop.submit(() -> {}).get();
         }
     }
 
     private void assertServed(long id) throws Exception {
-        try (Socket other = node.connect()) {
-            FakePeer.write(other, request(Limits.WIDE, "POST", "/slow", id, ""));
-            String response = FakePeer.readMessage(other);
+        try (Socket otherClient = node.connect()) {
+            FakePeer.write(otherClient, request(Limits.WIDE, "POST", "/slow", id, ""));
+            String response = FakePeer.readMessage(otherClient);
             assertTrue(response != null && response.endsWith("done"), response);
         }
     }
@@ -146,21 +146,21 @@
     @CsvSource({"WIDE, GET", "NARROW, GET", "WIDE, POST", "NARROW, POST"})
     void rejectsRequestThatIsNeverCompleteInTime(Limits limits, String method) throws Exception {
         startNode(limits);
-        Socket slow = node.connect();
+        Socket slowClient = node.connect();
         long startNs = System.nanoTime();
-        String started = method.equals("GET")
+        String startOfRequest = method.equals("GET")
                 ? "GET /view HTTP/1.1\r\nX-Pad: "
                 : request(limits, "POST", "/order", 1, "").replace("Length: 0", "Length: 1000000");
-        FakePeer.write(slow, started);
-        int served = 0;
-        while (slow.getInputStream().available() == 0) {
-            FakePeer.write(slow, "x");
-            assertServed(10 + served++);
+        FakePeer.write(slowClient, startOfRequest);
+        int servedCount = 0;
+        while (slowClient.getInputStream().available() == 0) {
+            FakePeer.write(slowClient, "x");
+            assertServed(10 + servedCount++);
             assertTrue(elapsedMs(startNs) < REJECTION_LIMIT_MS, "not ended in time");
         }
-        String response = FakePeer.readMessage(slow);
+        String response = FakePeer.readMessage(slowClient);
         assertTrue(response.startsWith("HTTP/1.1 408"), response);
-        assertEquals(served, server.requests.size());
+        assertEquals(servedCount, server.requests.size());
         node.awaitMetric("in_flight", 0);
     }
 
@@ -188,17 +188,17 @@
         Socket client = node.connect();
         long startNs = System.nanoTime();
         FakePeer.write(client, request(limits, method, method.equals("GET") ? "/view" : "/order", 1, ""));
-        Socket attempt = FakePeer.awaitNext(server.accepted);
+        Socket attemptSocket = FakePeer.awaitNext(server.accepted);
         assertTrue(started.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
-        int served = 0;
+        int servedCount = 0;
         while (client.getInputStream().available() == 0) {
             try {
-                FakePeer.write(attempt, "x");
+                FakePeer.write(attemptSocket, "x");
             } catch (IOException e) {
                 // The node has closed the connection and will respond to the client.
                 Thread.onSpinWait();
             }
-            assertServed(10 + served++);
+            assertServed(10 + servedCount++);
             assertTrue(elapsedMs(startNs) < limits.deadlineMs + TOLERANCE_MS, "not ended in time");
         }
         assertTrue(elapsedMs(startNs) >= limits.objectiveMs - TOLERANCE_MS / 10, "not waited for");
@@ -206,14 +206,14 @@
         assertTrue(response.startsWith("HTTP/1.1 " + status), response);
         assertEquals(1, server.requests.stream().filter(r -> r.contains(marker)).count(), "retried");
         node.awaitMetric("in_flight", 0);
-        awaitEnd(attempt);
+        awaitEnd(attemptSocket);
     }
 
     /** Waits until the connection of the attempt has been closed; fails if it stays open. */
-    private void awaitEnd(Socket attempt) throws InterruptedException {
-        Socket ended = FakePeer.awaitNext(server.closedConnections);
-        while (!ended.equals(attempt)) {
-            ended = FakePeer.awaitNext(server.closedConnections);
+    private void awaitEnd(Socket attemptSocket) throws InterruptedException {
+        Socket closedSocket = FakePeer.awaitNext(server.closedConnections);
+        while (!closedSocket.equals(attemptSocket)) {
+            closedSocket = FakePeer.awaitNext(server.closedConnections);
         }
     }
 
--- a/node/src/test/java/tansypass/node/StalledWatchTest.java
+++ b/node/src/test/java/tansypass/node/StalledWatchTest.java
@@ -69,9 +69,9 @@
     }
 
     private JsonObject createConfig(FakePeer peer, boolean pushed) {
-        JsonObject json = Fixture.createConfig(peer, drainingServer, readyServer);
-        json.getAsJsonObject("settings").addProperty("membershipMode", pushed ? "pushed" : "on_request");
-        return json;
+        JsonObject configJson = Fixture.createConfig(peer, drainingServer, readyServer);
+        configJson.getAsJsonObject("settings").addProperty("membershipMode", pushed ? "pushed" : "on_request");
+        return configJson;
     }
 
     /** Returns whether the node excludes the draining server within this time on its event loop. */
--- a/node/src/test/java/tansypass/node/StreamedRequestTest.java
+++ b/node/src/test/java/tansypass/node/StreamedRequestTest.java
@@ -79,9 +79,9 @@
     private Socket startUpload(int length, int sentBytes) throws IOException {
         FakePeer.write(client, formatHead(1, length));
         HttpStreams.write(client, 0, sentBytes);
-        Socket attempt = accept();
-        HttpStreams.readHead(attempt);
-        return attempt;
+        Socket attemptSocket = accept();
+        HttpStreams.readHead(attemptSocket);
+        return attemptSocket;
     }
 
     @Test
@@ -89,20 +89,20 @@
         startNode(1);
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
-        Socket attempt = accept();
-        String head = HttpStreams.readHead(attempt);
+        Socket attemptSocket = accept();
+        String head = HttpStreams.readHead(attemptSocket);
         assertTrue(head.startsWith("POST /order HTTP/1.1\r\n"), head);
         assertEquals(Integer.toString(LENGTH), FakePeer.findHeader(head, "Content-Length"));
         byte[] forwarded = new byte[LENGTH];
-        assertEquals(100_000, attempt.getInputStream().readNBytes(forwarded, 0, 100_000));
+        assertEquals(100_000, attemptSocket.getInputStream().readNBytes(forwarded, 0, 100_000));
         assertEquals(0, node.readMetric("in_flight"), "admitted before its last byte");
         HttpStreams.write(client, 100_000, LENGTH);
-        assertEquals(LENGTH - 100_000, attempt.getInputStream().readNBytes(forwarded, 100_000, LENGTH - 100_000));
+        assertEquals(LENGTH - 100_000, attemptSocket.getInputStream().readNBytes(forwarded, 100_000, LENGTH - 100_000));
         assertArrayEquals(BODY, forwarded);
-        FakePeer.write(attempt, RESPONSE);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
         // The connections are reused, by both short and long requests.
-        respondToAll(attempt);
+        respondToAll(attemptSocket);
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
@@ -147,16 +147,18 @@
         }
         FakePeer.write(client, Integer.toHexString(LENGTH) + "\r\n");
         HttpStreams.write(client, 0, LENGTH);
-        Socket attempt = accept();
-        assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(attempt), "Transfer-Encoding"));
+        Socket attemptSocket = accept();
+        assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(attemptSocket), "Transfer-Encoding"));
         FakePeer.write(client, "\r\n0\r\nX-Sum: 1\r\n\r\n");
         int forwardedBytes = 0;
-        for (int size = HttpStreams.readChunkSize(attempt); size > 0; size = HttpStreams.readChunkSize(attempt)) {
-            forwardedBytes += attempt.getInputStream().readNBytes(size).length;
-            attempt.getInputStream().readNBytes(2);
+        for (int size = HttpStreams.readChunkSize(attemptSocket);
+                size > 0;
+                size = HttpStreams.readChunkSize(attemptSocket)) {
+            forwardedBytes += attemptSocket.getInputStream().readNBytes(size).length;
+            attemptSocket.getInputStream().readNBytes(2);
         }
         assertEquals(LENGTH + 3, forwardedBytes);
-        FakePeer.write(attempt, RESPONSE);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
@@ -166,10 +168,10 @@
         FakePeer.write(client, formatHead(1, LENGTH).replace("X-Org", "Expect: 100-continue\r\nX-Org"));
         assertTrue(HttpStreams.readHead(client).startsWith("HTTP/1.1 100 "));
         HttpStreams.write(client, 0, LENGTH);
-        Socket attempt = accept();
-        assertNull(FakePeer.findHeader(HttpStreams.readHead(attempt), "Expect"));
-        attempt.getInputStream().readNBytes(LENGTH);
-        FakePeer.write(attempt, RESPONSE);
+        Socket attemptSocket = accept();
+        assertNull(FakePeer.findHeader(HttpStreams.readHead(attemptSocket), "Expect"));
+        attemptSocket.getInputStream().readNBytes(LENGTH);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
@@ -179,19 +181,19 @@
         // The client disconnects, sends a malformed chunk, or sends nothing more.
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
-        Socket attempt = accept();
+        Socket attemptSocket = accept();
         int port = client.getPort();
         client.close();
-        HttpStreams.readHead(attempt);
-        assertEquals(100_000, attempt.getInputStream().readAllBytes().length);
+        HttpStreams.readHead(attemptSocket);
+        assertEquals(100_000, attemptSocket.getInputStream().readAllBytes().length);
         for (String rest : new String[] {"zz\r\n", ""}) {
             client = Fixture.connect(port);
             FakePeer.write(client, formatChunkedHead(2 + rest.length()) + Integer.toHexString(LENGTH) + "\r\n");
             HttpStreams.write(client, 0, LENGTH);
             FakePeer.write(client, "\r\n" + rest);
-            attempt = accept();
-            HttpStreams.readHead(attempt);
-            byte[] forwarded = attempt.getInputStream().readAllBytes();
+            attemptSocket = accept();
+            HttpStreams.readHead(attemptSocket);
+            byte[] forwarded = attemptSocket.getInputStream().readAllBytes();
             String forwardedEnd = new String(
                     Arrays.copyOfRange(forwarded, forwarded.length - 7, forwarded.length), StandardCharsets.ISO_8859_1);
             assertTrue(!forwardedEnd.endsWith("\r\n0\r\n\r\n"), "ended as if it were complete");
@@ -206,22 +208,24 @@
     void retriesOnNextServerWhileBodyIsReplayable() throws Exception {
         startNode(2);
         int length = 100_000;
-        Socket first = startUpload(length, length - 1);
-        FakePeer.write(first, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-        Socket second = accept();
-        HttpStreams.readHead(second);
+        Socket firstAttemptSocket = startUpload(length, length - 1);
+        FakePeer.write(firstAttemptSocket, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        Socket secondAttemptSocket = accept();
+        HttpStreams.readHead(secondAttemptSocket);
         HttpStreams.write(client, length - 1, length);
-        assertArrayEquals(Arrays.copyOf(BODY, length), second.getInputStream().readNBytes(length));
-        FakePeer.write(second, RESPONSE);
+        assertArrayEquals(
+                Arrays.copyOf(BODY, length),
+                secondAttemptSocket.getInputStream().readNBytes(length));
+        FakePeer.write(secondAttemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
     @Test
     void rejectsRequestAndClosesConnectionWhenBodyIsNotReplayable() throws Exception {
         startNode(2);
-        Socket first = startUpload(LENGTH, LENGTH - 1);
-        first.getInputStream().readNBytes(LENGTH - 1);
-        FakePeer.RESET.run(first, "");
+        Socket firstAttemptSocket = startUpload(LENGTH, LENGTH - 1);
+        firstAttemptSocket.getInputStream().readNBytes(LENGTH - 1);
+        FakePeer.RESET.run(firstAttemptSocket, "");
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 503"), response);
         assertEquals("close", FakePeer.findHeader(response, "Connection"));
@@ -231,8 +235,8 @@
     @Test
     void doesNotForwardSuccessForIncompleteRequest() throws Exception {
         startNode(1);
-        Socket attempt = startUpload(LENGTH, 100_000);
-        FakePeer.write(attempt, RESPONSE);
+        Socket attemptSocket = startUpload(LENGTH, 100_000);
+        FakePeer.write(attemptSocket, RESPONSE);
         String response = FakePeer.readMessage(client);
         assertTrue(!response.startsWith("HTTP/1.1 200"), response);
     }
@@ -254,8 +258,8 @@
             }
         });
         writer.start();
-        Socket attempt = accept();
-        HttpStreams.readHead(attempt);
+        Socket attemptSocket = accept();
+        HttpStreams.readHead(attemptSocket);
         // Ends when all is written, or when nothing was written during 2,000 iterations of the event loop.
         int lastWritten = 0;
         for (int iterations = 0; iterations < 2_000 && lastWritten < length; iterations++) {
@@ -267,9 +271,9 @@
         byte[] buffer = new byte[1 << 16];
         int readBytes = 0;
         while (readBytes < length) {
-            readBytes += attempt.getInputStream().read(buffer, 0, Math.min(buffer.length, length - readBytes));
+            readBytes += attemptSocket.getInputStream().read(buffer, 0, Math.min(buffer.length, length - readBytes));
         }
-        FakePeer.write(attempt, RESPONSE);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
         writer.join();
     }
--- a/node/src/test/java/tansypass/node/StreamedResponseTest.java
+++ b/node/src/test/java/tansypass/node/StreamedResponseTest.java
@@ -52,9 +52,9 @@
     private Socket startResponse(String request, String head) throws Exception {
         FakePeer.write(client, request);
         server.nextRequest();
-        Socket attempt = FakePeer.awaitNext(server.accepted);
-        FakePeer.write(attempt, head);
-        return attempt;
+        Socket attemptSocket = FakePeer.awaitNext(server.accepted);
+        FakePeer.write(attemptSocket, head);
+        return attemptSocket;
     }
 
     private static String get(long id) {
@@ -63,9 +63,9 @@
 
     @Test
     void forwardsFirstBytesBeforeResponseIsComplete() throws Exception {
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 get(1), "HTTP/1.1 200 OK\r\nContent-Type: image/x\r\nContent-Length: " + LENGTH + "\r\n\r\n");
-        HttpStreams.write(attempt, 0, 1_000);
+        HttpStreams.write(attemptSocket, 0, 1_000);
         String head = HttpStreams.readHead(client);
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
         assertEquals(Integer.toString(LENGTH), FakePeer.findHeader(head, "Content-Length"));
@@ -73,7 +73,7 @@
         byte[] received = new byte[LENGTH];
         assertEquals(1_000, client.getInputStream().readNBytes(received, 0, 1_000));
         node.awaitMetric("in_flight", 1);
-        HttpStreams.write(attempt, 1_000, LENGTH);
+        HttpStreams.write(attemptSocket, 1_000, LENGTH);
         assertEquals(LENGTH - 1_000, client.getInputStream().readNBytes(received, 1_000, LENGTH - 1_000));
         assertArrayEquals(BODY, received);
         node.awaitMetric("requests.view.served", 1);
@@ -86,17 +86,17 @@
 
     @Test
     void forwardsChunksWithTrailersReceivedByteByByte() throws Exception {
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 get(1), "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + "Transfer-Encoding: chunked\r\n\r\n");
-        attempt.setTcpNoDelay(true);
+        attemptSocket.setTcpNoDelay(true);
         for (String piece : "3;ext=1\r\nabc\r\n".split("")) {
-            FakePeer.write(attempt, piece);
+            FakePeer.write(attemptSocket, piece);
         }
         // A response that is incomplete after 50 ms is streamed: its head arrives before it is complete.
         assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(client), "Transfer-Encoding"));
-        FakePeer.write(attempt, Integer.toHexString(LENGTH) + "\r\n");
-        HttpStreams.write(attempt, 0, LENGTH);
-        FakePeer.write(attempt, "\r\n0\r\nX-Sum: 1\r\n\r\n");
+        FakePeer.write(attemptSocket, Integer.toHexString(LENGTH) + "\r\n");
+        HttpStreams.write(attemptSocket, 0, LENGTH);
+        FakePeer.write(attemptSocket, "\r\n0\r\nX-Sum: 1\r\n\r\n");
         byte[] received = HttpStreams.readChunkedBody(client);
         assertEquals("abc", new String(received, 0, 3, StandardCharsets.US_ASCII));
         assertEquals(LENGTH + 3, received.length);
@@ -105,18 +105,18 @@
 
     @Test
     void forwardsResponseDelimitedByConnectionClose() throws Exception {
-        Socket attempt = startResponse(get(1), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-        HttpStreams.write(attempt, 0, LENGTH);
-        attempt.close();
+        Socket attemptSocket = startResponse(get(1), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+        HttpStreams.write(attemptSocket, 0, LENGTH);
+        attemptSocket.close();
         assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(client), "Transfer-Encoding"));
         assertArrayEquals(BODY, HttpStreams.readChunkedBody(client));
         // An HTTP/1.0 client gets no chunks: the close of its connection ends the response.
         FakePeer.write(client, get(2).replace("HTTP/1.1", "HTTP/1.0"));
         server.nextRequest();
-        Socket second = FakePeer.awaitNext(server.accepted);
-        FakePeer.write(second, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-        HttpStreams.write(second, 0, LENGTH);
-        second.close();
+        Socket secondAttemptSocket = FakePeer.awaitNext(server.accepted);
+        FakePeer.write(secondAttemptSocket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+        HttpStreams.write(secondAttemptSocket, 0, LENGTH);
+        secondAttemptSocket.close();
         String head = HttpStreams.readHead(client);
         assertEquals("close", FakePeer.findHeader(head, "Connection"));
         assertNull(FakePeer.findHeader(head, "Transfer-Encoding"));
@@ -130,10 +130,10 @@
             "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LENGTH) + "\r\n",
             "Connection: close\r\n\r\n"
         }) {
-            Socket attempt = startResponse(get(framing.length()), "HTTP/1.1 200 OK\r\n" + framing);
-            HttpStreams.write(attempt, 0, 100_000);
+            Socket attemptSocket = startResponse(get(framing.length()), "HTTP/1.1 200 OK\r\n" + framing);
+            HttpStreams.write(attemptSocket, 0, 100_000);
             String head = HttpStreams.readHead(client);
-            FakePeer.RESET.run(attempt, "");
+            FakePeer.RESET.run(attemptSocket, "");
             assertThrows(IOException.class, () -> {
                 if (FakePeer.findHeader(head, "Transfer-Encoding") != null) {
                     HttpStreams.readChunkedBody(client);
@@ -152,33 +152,33 @@
     @Test
     void abortsShortResponseAtItsDeadlineButNotLongOne() throws Exception {
         String requestWithShortDeadline = get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 500");
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 requestWithShortDeadline, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         HttpStreams.readHead(client);
         assertThrows(IOException.class, () -> HttpStreams.readChunkedBody(client));
         node.awaitMetric("requests.view.failed", 1);
         node.awaitMetric("in_flight", 0);
-        assertEquals(attempt, FakePeer.awaitNext(server.closedConnections));
+        assertEquals(attemptSocket, FakePeer.awaitNext(server.closedConnections));
         int port = client.getPort();
         client = Fixture.connect(port);
-        Socket longAttempt = startResponse(
+        Socket longAttemptSocket = startResponse(
                 requestWithShortDeadline.replace("0001\r", "0002\r"),
                 "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
-        HttpStreams.write(longAttempt, 0, 100_000);
+        HttpStreams.write(longAttemptSocket, 0, 100_000);
         HttpStreams.readHead(client);
         // The third request has the same timeout. When it has failed, the second request's deadline has passed.
         try (Socket other = new Socket("127.0.0.1", port)) {
             FakePeer.write(other, requestWithShortDeadline.replace("0001\r", "0003\r"));
             assertTrue(!FakePeer.readMessage(other).startsWith("HTTP/1.1 200"));
         }
-        HttpStreams.write(longAttempt, 100_000, LENGTH);
+        HttpStreams.write(longAttemptSocket, 100_000, LENGTH);
         assertArrayEquals(BODY, client.getInputStream().readNBytes(LENGTH));
         node.awaitMetric("requests.view.served", 1);
     }
 
     @Test
     void continuesSteadyResponsePastItsDeadline() throws Exception {
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
         HttpStreams.readHead(client);
@@ -186,14 +186,14 @@
         assertEquals(6, client.getInputStream().readNBytes(6).length);
         String chunk = "400\r\n" + "a".repeat(1_024) + "\r\n";
         for (int sentChunks = 0; System.nanoTime() < untilNs && sentChunks < 62; sentChunks++) {
-            FakePeer.write(attempt, chunk);
+            FakePeer.write(attemptSocket, chunk);
             assertEquals(
                     chunk.length(),
                     client.getInputStream().readNBytes(chunk.length()).length,
                     "truncated after chunk " + sentChunks);
             assertNull(server.closedConnections.poll(20, TimeUnit.MILLISECONDS));
         }
-        FakePeer.write(attempt, "0\r\n\r\n");
+        FakePeer.write(attemptSocket, "0\r\n\r\n");
         assertEquals(0, HttpStreams.readChunkedBody(client).length);
         node.awaitMetric("requests.view.served", 1);
     }
@@ -202,14 +202,14 @@
     @ValueSource(strings = {"Transfer-Encoding: chunked", "Connection: close", "Content-Length: 9000000"})
     void abortsTricklingResponseSoonAfterItsDeadline(String framing) throws Exception {
         long startNs = System.nanoTime();
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n1\r\na\r\n");
         HttpStreams.readHead(client);
         long timeoutNs = startNs + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         while (server.closedConnections.poll(20, TimeUnit.MILLISECONDS) == null && System.nanoTime() < timeoutNs) {
             try {
-                FakePeer.write(attempt, "1\r\na\r\n");
+                FakePeer.write(attemptSocket, "1\r\na\r\n");
             } catch (IOException e) {
                 // This thread sees the close of the connection before the reading thread of the fake server reports it.
             }
@@ -222,14 +222,14 @@
 
     @Test
     void abortsEndlessResponseWhateverItsRate() throws Exception {
-        Socket attempt = startResponse(
+        Socket attemptSocket = startResponse(
                 get(1).replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 300"),
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         Thread sender = new Thread(() -> {
             String chunk = "10000\r\n" + "a".repeat(1 << 16) + "\r\n";
             try {
                 while (true) {
-                    FakePeer.write(attempt, chunk);
+                    FakePeer.write(attemptSocket, chunk);
                 }
             } catch (IOException e) {
                 // The node has closed the connection.
@@ -257,11 +257,11 @@
 
     @Test
     void abortsAttemptWhenClientDisconnects() throws Exception {
-        Socket attempt = startResponse(get(1), "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
-        HttpStreams.write(attempt, 0, 100_000);
+        Socket attemptSocket = startResponse(get(1), "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n");
+        HttpStreams.write(attemptSocket, 0, 100_000);
         HttpStreams.readHead(client);
         client.close();
-        assertEquals(attempt, FakePeer.awaitNext(server.closedConnections));
+        assertEquals(attemptSocket, FakePeer.awaitNext(server.closedConnections));
         node.awaitMetric("in_flight", 0);
         assertTrue(server.requests.isEmpty(), "retried after the client had disconnected");
     }
--- a/node/src/test/java/tansypass/node/UnreadRequestTest.java
+++ b/node/src/test/java/tansypass/node/UnreadRequestTest.java
@@ -66,9 +66,9 @@
         spinFor(System.nanoTime(), STALL_MS);
         release.countDown();
         // When this response arrives, the earlier connection has been accepted.
-        Socket other = node.connect();
-        FakePeer.write(other, get(1));
-        assertServed(other);
+        Socket otherClient = node.connect();
+        FakePeer.write(otherClient, get(1));
+        assertServed(otherClient);
         server.nextRequest();
         spinFor(System.nanoTime(), FIRST_BYTES_GRACE_MS);
         FakePeer.write(client, get(2));
--- a/node/src/test/java/tansypass/node/UpgradeTest.java
+++ b/node/src/test/java/tansypass/node/UpgradeTest.java
@@ -164,13 +164,13 @@
             Fixture.awaitLatch(connected);
             frontend.stopAccepting(() -> {});
         });
-        List<Socket> queued = new ArrayList<>();
+        List<Socket> queuedClients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            queued.add(connect());
-            FakePeer.write(queued.get(i), "GET /ready HTTP/1.1\r\n\r\n");
+            queuedClients.add(connect());
+            FakePeer.write(queuedClients.get(i), "GET /ready HTTP/1.1\r\n\r\n");
         }
         connected.countDown();
-        for (Socket socket : queued) {
+        for (Socket socket : queuedClients) {
             assertTrue(FakePeer.readMessage(socket).startsWith("HTTP/1.1 503"), "not answered with 503");
             socket.close();
         }
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -50,8 +50,10 @@
                     .run());
             assertTrue(ended.await(60, TimeUnit.SECONDS), "the warm-up never ended");
             int notifyInterval = 1 << readVmFlag("Tier0InvokeNotifyFreqLog");
-            int needed = notifyInterval * (readVmFlag("Tier3InvocationThreshold") / notifyInterval + 1);
-            assertTrue(self.requests.size() >= needed, self.requests.size() + " requests, expected at least " + needed);
+            int neededRequests = notifyInterval * (readVmFlag("Tier3InvocationThreshold") / notifyInterval + 1);
+            assertTrue(
+                    self.requests.size() >= neededRequests,
+                    self.requests.size() + " requests, expected at least " + neededRequests);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -168,8 +168,8 @@
         Socket socket = FakePeer.awaitNext(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(socket);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
-        while (System.nanoTime() < until) {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
+        while (System.nanoTime() < endNs) {
             Fixture.writeWatchLine(socket, "");
             String failure = failures.poll(100, TimeUnit.MILLISECONDS);
             assertEquals(null, failure);
@@ -212,10 +212,10 @@
         assertEquals("response timeout", FakePeer.awaitNext(failures));
         FakePeer.awaitNext(peer.accepted);
         loop.submit(watch::subscribe).get();
-        Socket queued = FakePeer.awaitNext(peer.accepted);
+        Socket queuedWatch = FakePeer.awaitNext(peer.accepted);
         loop.schedule(() -> {}, 1_300, TimeUnit.MILLISECONDS).get();
-        Fixture.beginWatch(queued);
-        Fixture.writeWatchLine(queued, Fixture.formatEndpointList(42, true, "Ready"));
+        Fixture.beginWatch(queuedWatch);
+        Fixture.writeWatchLine(queuedWatch, Fixture.formatEndpointList(42, true, "Ready"));
         assertEquals(42, FakePeer.awaitNext(lists).revision());
         assertTrue(failures.isEmpty());
     }
@@ -237,9 +237,9 @@
         Socket socket = FakePeer.awaitNext(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(socket);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
+        long timeoutNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         String failure = null;
-        while (failure == null && System.nanoTime() < until) {
+        while (failure == null && System.nanoTime() < timeoutNs) {
             FakePeer.write(socket, "1\r\n{\r\n");
             failure = failures.poll(20, TimeUnit.MILLISECONDS);
         }
@@ -259,15 +259,15 @@
         FakePeer.awaitNext(failures);
         try (FakePeer newDiscovery = new FakePeer(FakePeer.SILENT)) {
             EventLoop loop = group.next();
-            CountDownLatch after = new CountDownLatch(1);
+            CountDownLatch retryTimePassed = new CountDownLatch(1);
             loop.submit(() -> {
                         watch.subscribeAfter(100);
-                        loop.schedule(after::countDown, 150, TimeUnit.MILLISECONDS);
+                        loop.schedule(retryTimePassed::countDown, 150, TimeUnit.MILLISECONDS);
                         watch.changeAddress(new InetSocketAddress("127.0.0.1", newDiscovery.port()));
                     })
                     .get();
             assertTrue(newDiscovery.nextRequest().contains("after=41 "));
-            assertTrue(after.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
+            assertTrue(retryTimePassed.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             loop.submit(() -> {}).get();
             assertEquals(1, newDiscovery.accepted.size(), "the retry replaced an open watch");
             assertTrue(newDiscovery.closedConnections.isEmpty());
--- a/node/src/test/java/tansypass/node/lifecycle/DelayRoundingIoHandlerTest.java
+++ b/node/src/test/java/tansypass/node/lifecycle/DelayRoundingIoHandlerTest.java
@@ -64,10 +64,10 @@
         });
         EventLoopGroup group = new TestEventLoopGroup(DelayRoundingIoHandler.wrap(counting));
         try {
-            CountDownLatch left = new CountDownLatch(TIMERS);
+            CountDownLatch remainingTimers = new CountDownLatch(TIMERS);
             EventLoop loop = group.next();
-            loop.execute(() -> scheduleNext(loop, left));
-            assertTrue(left.await(30, TimeUnit.SECONDS));
+            loop.execute(() -> scheduleNext(loop, remainingTimers));
+            assertTrue(remainingTimers.await(30, TimeUnit.SECONDS));
             assertTrue(rounds.get() <= 3 * TIMERS, rounds + " rounds for " + TIMERS + " timers");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
@@ -75,10 +75,10 @@
     }
 
     /** Schedules one timer after another, none of them due at a whole millisecond. */
-    private static void scheduleNext(EventLoop loop, CountDownLatch left) {
-        left.countDown();
-        if (left.getCount() > 0) {
-            loop.schedule(() -> scheduleNext(loop, left), 3_400, TimeUnit.MICROSECONDS);
+    private static void scheduleNext(EventLoop loop, CountDownLatch remainingTimers) {
+        remainingTimers.countDown();
+        if (remainingTimers.getCount() > 0) {
+            loop.schedule(() -> scheduleNext(loop, remainingTimers), 3_400, TimeUnit.MICROSECONDS);
         }
     }
 }
--- a/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamAttemptTest.java
@@ -143,10 +143,10 @@
     void connectTimeoutIsConnectFailed() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // Linux drops SYN packets while the accept queue is full.
-            List<Socket> queued = new ArrayList<>();
+            List<Socket> queuedSockets = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Socket socket = new Socket();
-                queued.add(socket);
+                queuedSockets.add(socket);
                 try {
                     socket.connect(listener.getLocalSocketAddress(), 200);
                 } catch (java.net.SocketTimeoutException e) {
@@ -156,7 +156,7 @@
             RecordingHandler handler = new RecordingHandler(10);
             start(openPool("127.0.0.1:" + listener.getLocalPort(), IDLE_US), handler);
             assertEquals(AttemptResult.CONNECT_FAILED, handler.awaitReport().result());
-            for (Socket socket : queued) {
+            for (Socket socket : queuedSockets) {
                 socket.close();
             }
         }
@@ -167,10 +167,10 @@
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             RecordingHandler handler = new RecordingHandler(64 << 20);
             start(openPool("127.0.0.1:" + listener.getLocalPort(), IDLE_US), handler);
-            Socket accepted = listener.accept();
-            accepted.getInputStream().read();
-            accepted.setSoLinger(true, 0);
-            accepted.close();
+            Socket acceptedSocket = listener.accept();
+            acceptedSocket.getInputStream().read();
+            acceptedSocket.setSoLinger(true, 0);
+            acceptedSocket.close();
             assertEquals(AttemptResult.CONNECT_FAILED, handler.awaitReport().result());
         }
     }
@@ -179,32 +179,33 @@
     @ParameterizedTest
     @ValueSource(ints = {200, 400})
     void attemptWaitsForConnectionNoLongerThanConnectTimeout(int connectTimeoutMs) throws Exception {
-        List<Socket> queued = new ArrayList<>();
+        List<Socket> queuedSockets = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            queued.addAll(Fixture.fillAcceptQueue(listener));
+            queuedSockets.addAll(Fixture.fillAcceptQueue(listener));
             UpstreamConnectionPool pool =
                     openPool("127.0.0.1:" + listener.getLocalPort(), 1_000L * connectTimeoutMs, IDLE_US, 0);
-            RecordingHandler waiting = new RecordingHandler(10);
-            RecordingHandler cancelled = new RecordingHandler(10);
+            RecordingHandler waitingHandler = new RecordingHandler(10);
+            RecordingHandler cancelledHandler = new RecordingHandler(10);
             // The event loop measures the time, because its timers fire in order.
             CompletableFuture<Boolean> inTime = new CompletableFuture<>();
             loop.submit(() -> {
                         loop.schedule(
-                                () -> pool.startAttempt("s", cancelled).abort(AttemptResult.CANCELLED),
+                                () -> pool.startAttempt("s", cancelledHandler).abort(AttemptResult.CANCELLED),
                                 connectTimeoutMs / 2,
                                 TimeUnit.MILLISECONDS);
                         loop.schedule(
-                                () -> inTime.complete(!waiting.reports.isEmpty()),
+                                () -> inTime.complete(!waitingHandler.reports.isEmpty()),
                                 connectTimeoutMs * 5 / 4,
                                 TimeUnit.MILLISECONDS);
-                        pool.startAttempt("s", waiting);
+                        pool.startAttempt("s", waitingHandler);
                     })
                     .get();
             assertTrue(inTime.get(), "waits for the connection of a cancelled attempt");
-            assertEquals(AttemptResult.CONNECT_FAILED, waiting.awaitReport().result());
-            assertEquals(AttemptResult.NOT_SENT, cancelled.awaitReport().result());
+            assertEquals(
+                    AttemptResult.CONNECT_FAILED, waitingHandler.awaitReport().result());
+            assertEquals(AttemptResult.NOT_SENT, cancelledHandler.awaitReport().result());
         }
-        for (Socket socket : queued) {
+        for (Socket socket : queuedSockets) {
             socket.close();
         }
     }
@@ -229,9 +230,9 @@
         assertEquals(AttemptResult.NOT_SENT, handler.awaitReport().result());
         // Once established, the connection carries the next attempt, whose request is the only one sent.
         FakePeer.awaitNext(server.accepted);
-        RecordingHandler next = new RecordingHandler(11);
-        start(pool, next);
-        assertEquals(AttemptResult.OK, next.awaitReport().result());
+        RecordingHandler nextHandler = new RecordingHandler(11);
+        start(pool, nextHandler);
+        assertEquals(AttemptResult.OK, nextHandler.awaitReport().result());
         assertEquals("11", FakePeer.findHeader(server.nextRequest(), "Content-Length"));
         assertTrue(server.requests.isEmpty());
     }
@@ -257,11 +258,11 @@
                     }
                 });
             });
-            Socket connected = FakePeer.awaitNext(server.accepted);
+            Socket connectedSocket = FakePeer.awaitNext(server.accepted);
             release.countDown();
             AttemptResult result = handler.awaitReport().result();
             if (result != AttemptResult.NOT_SENT) {
-                assertSame(connected, FakePeer.awaitNext(server.closedConnections));
+                assertSame(connectedSocket, FakePeer.awaitNext(server.closedConnections));
             }
             loop.submit(() -> {}).get();
             assertTrue(handler.reports.isEmpty(), "reported twice");
--- a/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
+++ b/node/src/test/java/tansypass/node/upstream/UpstreamConnectionPoolTest.java
@@ -28,74 +28,74 @@
 class UpstreamConnectionPoolTest extends UpstreamTestBase {
     @Test
     void mostRecentlyUsedConnectionIsReusedFirst() throws Exception {
-        BlockingQueue<Socket> used = new LinkedBlockingQueue<>();
-        server.setScript((socket, request) -> used.add(socket));
+        BlockingQueue<Socket> usedConnections = new LinkedBlockingQueue<>();
+        server.setScript((socket, request) -> usedConnections.add(socket));
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
-        RecordingHandler first = new RecordingHandler(1);
-        RecordingHandler second = new RecordingHandler(2);
-        start(pool, first);
-        start(pool, second);
-        Socket usedFirst = FakePeer.awaitNext(used);
-        Socket usedSecond = FakePeer.awaitNext(used);
+        RecordingHandler firstHandler = new RecordingHandler(1);
+        RecordingHandler secondHandler = new RecordingHandler(2);
+        start(pool, firstHandler);
+        start(pool, secondHandler);
+        Socket usedFirst = FakePeer.awaitNext(usedConnections);
+        Socket usedSecond = FakePeer.awaitNext(usedConnections);
         FakePeer.write(usedFirst, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.awaitNext(
-                first.reports.isEmpty() && second.reports.isEmpty()
-                        ? awaitEither(first, second)
-                        : first.reports.isEmpty() ? second.reports : first.reports);
+                firstHandler.reports.isEmpty() && secondHandler.reports.isEmpty()
+                        ? awaitEither(firstHandler, secondHandler)
+                        : firstHandler.reports.isEmpty() ? secondHandler.reports : firstHandler.reports);
         FakePeer.write(usedSecond, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.awaitNext(awaitEither(first, second));
-        RecordingHandler third = new RecordingHandler(3);
-        start(pool, third);
-        assertSame(usedSecond, FakePeer.awaitNext(used));
+        FakePeer.awaitNext(awaitEither(firstHandler, secondHandler));
+        RecordingHandler thirdHandler = new RecordingHandler(3);
+        start(pool, thirdHandler);
+        assertSame(usedSecond, FakePeer.awaitNext(usedConnections));
     }
 
     @Test
     void connectionInQuarantineIsNotReusedEvenAfterItsFirstResponse() throws Exception {
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US, TimeUnit.MINUTES.toMillis(10));
-        RecordingHandler first = new RecordingHandler(10);
-        start(pool, first);
-        assertEquals(AttemptResult.OK, first.awaitReport().result());
-        Socket used = FakePeer.awaitNext(server.accepted);
-        RecordingHandler second = new RecordingHandler(10);
-        start(pool, second);
-        RecordingHandler aborted = new RecordingHandler(10);
-        loop.submit(() -> pool.startAttempt("s", aborted).abort(AttemptResult.TIMEOUT))
+        RecordingHandler firstHandler = new RecordingHandler(10);
+        start(pool, firstHandler);
+        assertEquals(AttemptResult.OK, firstHandler.awaitReport().result());
+        Socket usedConnection = FakePeer.awaitNext(server.accepted);
+        RecordingHandler secondHandler = new RecordingHandler(10);
+        start(pool, secondHandler);
+        RecordingHandler abortedHandler = new RecordingHandler(10);
+        loop.submit(() -> pool.startAttempt("s", abortedHandler).abort(AttemptResult.TIMEOUT))
                 .get();
-        assertEquals(AttemptResult.NOT_SENT, aborted.awaitReport().result());
-        FakePeer.write(used, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-        assertEquals("hello", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
-        assertSame(used, FakePeer.awaitNext(server.closedConnections));
+        assertEquals(AttemptResult.NOT_SENT, abortedHandler.awaitReport().result());
+        FakePeer.write(usedConnection, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
+        assertEquals("hello", new String(secondHandler.awaitReport().response().body(), StandardCharsets.UTF_8));
+        assertSame(usedConnection, FakePeer.awaitNext(server.closedConnections));
         assertEquals(2, server.requests.size());
     }
 
     @Test
     void waitingAttemptUsesAConnectionThatLeavesQuarantine() throws Exception {
-        List<Socket> queued = new ArrayList<>();
+        List<Socket> queuedSockets = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             UpstreamConnectionPool pool = openPool("127.0.0.1:" + listener.getLocalPort(), IDLE_US, 20);
-            RecordingHandler first = new RecordingHandler(10);
-            start(pool, first);
-            Socket used = listener.accept();
-            FakePeer.readMessage(used);
+            RecordingHandler firstHandler = new RecordingHandler(10);
+            start(pool, firstHandler);
+            Socket usedConnection = listener.accept();
+            FakePeer.readMessage(usedConnection);
             // From now on no further connection can be established.
-            queued.addAll(Fixture.fillAcceptQueue(listener));
-            FakePeer.write(used, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(AttemptResult.OK, first.awaitReport().result());
-            RecordingHandler second = new RecordingHandler(10);
-            start(pool, second);
-            assertTrue(FakePeer.readMessage(used) != null, "not sent on the idle connection");
-            FakePeer.write(used, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(AttemptResult.OK, second.awaitReport().result());
+            queuedSockets.addAll(Fixture.fillAcceptQueue(listener));
+            FakePeer.write(usedConnection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            assertEquals(AttemptResult.OK, firstHandler.awaitReport().result());
+            RecordingHandler secondHandler = new RecordingHandler(10);
+            start(pool, secondHandler);
+            assertTrue(FakePeer.readMessage(usedConnection) != null, "not sent on the idle connection");
+            FakePeer.write(usedConnection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            assertEquals(AttemptResult.OK, secondHandler.awaitReport().result());
         }
-        for (Socket socket : queued) {
+        for (Socket socket : queuedSockets) {
             socket.close();
         }
     }
 
     private static BlockingQueue<Report> awaitEither(RecordingHandler a, RecordingHandler b)
             throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
-        while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < until) {
+        long timeoutNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
+        while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < timeoutNs) {
             Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
                 a.reports.add(report);
@@ -109,20 +109,21 @@
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
         String unsolicitedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         for (String unsolicited : Arrays.asList(null, unsolicitedResponse, "HTT")) {
-            RecordingHandler first = new RecordingHandler(10);
-            start(pool, first);
-            assertEquals(AttemptResult.OK, first.awaitReport().result());
-            Socket idle = FakePeer.awaitNext(server.accepted);
+            RecordingHandler firstHandler = new RecordingHandler(10);
+            start(pool, firstHandler);
+            assertEquals(AttemptResult.OK, firstHandler.awaitReport().result());
+            Socket idleConnection = FakePeer.awaitNext(server.accepted);
             if (unsolicited == null) {
                 // Closes one direction only. The pool closes the other one when it has noticed this.
-                idle.shutdownOutput();
+                idleConnection.shutdownOutput();
             } else {
-                FakePeer.write(idle, unsolicited);
+                FakePeer.write(idleConnection, unsolicited);
             }
-            assertSame(idle, FakePeer.awaitNext(server.closedConnections));
-            RecordingHandler second = new RecordingHandler(10);
-            start(pool, second);
-            assertEquals("hello", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
+            assertSame(idleConnection, FakePeer.awaitNext(server.closedConnections));
+            RecordingHandler secondHandler = new RecordingHandler(10);
+            start(pool, secondHandler);
+            assertEquals(
+                    "hello", new String(secondHandler.awaitReport().response().body(), StandardCharsets.UTF_8));
             FakePeer.awaitNext(server.accepted).shutdownOutput();
             FakePeer.awaitNext(server.closedConnections);
         }
@@ -140,15 +141,16 @@
     @Test
     void attemptsGoToTheNewAddressOfAMovedServer() throws Exception {
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
-        RecordingHandler first = new RecordingHandler(10);
-        start(pool, first);
-        assertEquals(AttemptResult.OK, first.awaitReport().result());
+        RecordingHandler firstHandler = new RecordingHandler(10);
+        start(pool, firstHandler);
+        assertEquals(AttemptResult.OK, firstHandler.awaitReport().result());
         try (FakePeer moved = new FakePeer(FakePeer.respondWith("200 OK", "", "moved"))) {
             updateEndpoint(pool, moved.address(), 0);
             FakePeer.awaitNext(server.closedConnections);
-            RecordingHandler second = new RecordingHandler(10);
-            start(pool, second);
-            assertEquals("moved", new String(second.awaitReport().response().body(), StandardCharsets.UTF_8));
+            RecordingHandler secondHandler = new RecordingHandler(10);
+            start(pool, secondHandler);
+            assertEquals(
+                    "moved", new String(secondHandler.awaitReport().response().body(), StandardCharsets.UTF_8));
         }
     }
 
@@ -156,19 +158,19 @@
     @ValueSource(strings = {"Terminating", "Gone"})
     void waitingAttemptIsNotSentToDrainingServer(String state) throws Exception {
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US);
-        RecordingHandler waiting = new RecordingHandler(10);
+        RecordingHandler waitingHandler = new RecordingHandler(10);
         EndpointList update = parseEndpoint(server.address(), state, 0);
         // Both run in one iteration of the event loop: the update arrives while the connection is being established.
         loop.submit(() -> {
-                    pool.startAttempt("s", waiting);
+                    pool.startAttempt("s", waitingHandler);
                     pool.update(update);
                 })
                 .get();
-        assertEquals(AttemptResult.NOT_SENT, waiting.awaitReport().result());
+        assertEquals(AttemptResult.NOT_SENT, waitingHandler.awaitReport().result());
         updateEndpoint(pool, server.address(), 0);
-        RecordingHandler next = new RecordingHandler(11);
-        start(pool, next);
-        assertEquals(AttemptResult.OK, next.awaitReport().result());
+        RecordingHandler nextHandler = new RecordingHandler(11);
+        start(pool, nextHandler);
+        assertEquals(AttemptResult.OK, nextHandler.awaitReport().result());
         assertEquals("11", FakePeer.findHeader(server.nextRequest(), "Content-Length"));
         assertTrue(server.requests.isEmpty(), "sent to a draining server");
     }
@@ -176,22 +178,22 @@
     @Test
     void connectionOutOfQuarantineIsPreferred() throws Exception {
         long quarantineMs = 1_000;
-        BlockingQueue<Socket> used = new LinkedBlockingQueue<>();
-        server.setScript((socket, request) -> used.add(socket));
+        BlockingQueue<Socket> usedConnections = new LinkedBlockingQueue<>();
+        server.setScript((socket, request) -> usedConnections.add(socket));
         UpstreamConnectionPool pool = openPool(server.address(), IDLE_US, quarantineMs);
-        RecordingHandler first = new RecordingHandler(1);
-        RecordingHandler second = new RecordingHandler(2);
-        start(pool, first);
-        start(pool, second);
-        Socket outOfQuarantine = FakePeer.awaitNext(used);
-        Socket fresh = FakePeer.awaitNext(used);
+        RecordingHandler firstHandler = new RecordingHandler(1);
+        RecordingHandler secondHandler = new RecordingHandler(2);
+        start(pool, firstHandler);
+        start(pool, secondHandler);
+        Socket outOfQuarantine = FakePeer.awaitNext(usedConnections);
+        Socket freshConnection = FakePeer.awaitNext(usedConnections);
         FakePeer.write(outOfQuarantine, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.awaitNext(awaitEither(first, second));
+        FakePeer.awaitNext(awaitEither(firstHandler, secondHandler));
         loop.schedule(() -> {}, 2 * quarantineMs, TimeUnit.MILLISECONDS).get();
-        FakePeer.write(fresh, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.awaitNext(awaitEither(first, second));
-        RecordingHandler third = new RecordingHandler(3);
-        start(pool, third);
-        assertSame(outOfQuarantine, FakePeer.awaitNext(used));
+        FakePeer.write(freshConnection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        FakePeer.awaitNext(awaitEither(firstHandler, secondHandler));
+        RecordingHandler thirdHandler = new RecordingHandler(3);
+        start(pool, thirdHandler);
+        assertSame(outOfQuarantine, FakePeer.awaitNext(usedConnections));
     }
 }
