--- a/node/src/main/java/tansypass/balancer/AdmissionQueue.java
+++ b/node/src/main/java/tansypass/balancer/AdmissionQueue.java
@@ -8,7 +8,7 @@
     /** A request is late if the time to its objective is less than this multiple of its class's mean latency. */
     private static final double LATE_MEAN_LATENCIES = 2;
 
-    /** A request is never late while this share or more of its objective is left. */
+    /** A request is not late while at least this share of the time from its arrival to its objective is left. */
     private static final double MAX_LATE_SHARE = 0.8;
 
     /** Largest burst of a tenant's requests, in seconds of its quota. */
--- a/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientConnectionRegistry.java
@@ -18,7 +18,7 @@
 final class ClientConnectionRegistry {
     private static final long SWEEP_INTERVAL_MS = 100;
     /**
-     * How long the clients' load balancer may continue to send requests after the node has stopped being ready: up to
+     * The time for which the clients' load balancer may send requests after the node has stopped being ready: up to
      * 0.1 s until its next readiness check, 0.2 s more, and a reserve. Idle connections are closed after this time,
      * and their clients reconnect to another node.
      */
@@ -34,7 +34,7 @@
      * The time at which a sweep first found the node draining, by {@link System#nanoTime}; 0 if it is not draining.
      */
     private long drainingSinceNs;
-    /** Whether new connections get time for their first request before they are closed as idle. */
+    /** True if new connections get time for their first request before they are closed as idle. */
     private boolean awaitingFirstRequests = true;
 
     /** Creates an empty registry and starts its sweeps. */
--- a/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
+++ b/node/src/main/java/tansypass/node/frontend/ClientTimeouts.java
@@ -16,7 +16,7 @@
      * at a sufficient rate.
      */
     private static final long REQUEST_TIMEOUT_MS = 2_600;
-    /** How long a new connection without a request is left open while the node is draining. */
+    /** The time for which a new connection without a request is left open while the node is draining. */
     private static final long FIRST_REQUEST_GRACE_MS = 400;
     /**
      * The age at which a connection's first bytes have been read if the client sent them when it connected, unless
@@ -29,7 +29,7 @@
     private boolean awaitingRequest;
     /** The start of the wait, by {@link System#nanoTime}. */
     private long waitStartNs;
-    /** Whether bytes of the awaited request have been received. */
+    /** True if bytes of the awaited request have been received. */
     private boolean bytesReceived;
 
     /** Creates the timeouts of a connection that does not wait for a request yet. */
--- a/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
+++ b/node/src/main/java/tansypass/node/frontend/HttpFrontend.java
@@ -24,9 +24,9 @@
     public static final String WARM_UP_HEADER = "X-Rehearsal";
 
     /**
-     * How long the connections accepted last may stay open without a request. Accepting ends 0.6 s after the shutdown
-     * began, and a request that arrives more than 0.7 s after that beginning might get no response before the process
-     * is killed.
+     * The time for which the connections accepted last may stay open without a request. Accepting ends 0.6 s
+     * after the shutdown began, and a request that arrives more than 0.7 s after that beginning might get no response
+     * before the process is killed.
      */
     private static final long LAST_REQUESTS_GRACE_MS = 60;
 
--- a/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
+++ b/node/src/main/java/tansypass/node/frontend/IncomingRequest.java
@@ -17,9 +17,9 @@
     Exchange exchange;
     /** The error for the response if the request is invalid, or null. */
     BadRequestException failure;
-    /** Whether the last part has been received. {@link RequestReader} processes it only later. */
+    /** True if the last part has been received. {@link RequestReader} processes it only later. */
     boolean complete;
-    /** Whether reading from the client has ever been suspended during this request. */
+    /** True if reading from the client has ever been suspended during this request. */
     boolean readingSuspended;
 
     long receivedBytes;
@@ -33,7 +33,7 @@
 
     /**
      * Returns whether the body has been received below the lowest accepted rate, and starts the next measurement.
-     * Returns false without doing so while the present measurement is shorter than its window.
+     * While the present measurement is shorter than its window, returns false and continues that measurement.
      *
      * @param nowNs the present {@link System#nanoTime}
      * @param reading whether the connection is being read; otherwise the rate does not depend on the client
--- a/node/src/main/java/tansypass/node/frontend/ResponseWriter.java
+++ b/node/src/main/java/tansypass/node/frontend/ResponseWriter.java
@@ -20,13 +20,13 @@
  */
 final class ResponseWriter {
     /**
-     * How long a connection whose client is still sending stays open after the last response. The client reads in
-     * this time why the connection is closed.
+     * The time for which a connection stays open after the last response if its client is still sending. In this time
+     * the client can read the response, which says why the connection is closed.
      */
     private static final long LINGER_MS = 1_000;
     /**
-     * How long any other connection stays open after the last response. The client's next request may be on its way,
-     * and a reset would discard the response.
+     * The time for which any other connection stays open after the last response. The client's next request
+     * may be on its way, and a reset would discard the response.
      */
     private static final long IDLE_LINGER_MS = 200;
 
--- a/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
+++ b/node/src/main/java/tansypass/node/lifecycle/Lifecycle.java
@@ -19,7 +19,7 @@
         STOPPING
     }
 
-    /** Whether the start is complete. */
+    /** True if the start is complete. */
     private boolean started;
 
     private volatile State state = State.STARTING;
--- a/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
+++ b/node/src/main/java/tansypass/node/lifecycle/ReusePortServerChannel.java
@@ -21,7 +21,7 @@
 
     private static final long DEREGISTRATION_POLL_INTERVAL_MS = 1;
 
-    /** Whether connections may be waiting in the accept queue because of a pause. */
+    /** True if connections may be waiting in the accept queue because of a pause. */
     private boolean mayHaveQueuedConnections;
 
     /** The start of the pause because of which connections may be waiting, by {@link System#nanoTime}. */
--- a/node/src/main/java/tansypass/node/process/ProxyNode.java
+++ b/node/src/main/java/tansypass/node/process/ProxyNode.java
@@ -38,8 +38,8 @@
     private static final Logger LOG = System.getLogger(ProxyNode.class.getName());
 
     /**
-     * How long a stopping node accepts connections. Clients connect for up to 0.4 s after SIGTERM, and their requests
-     * follow at once.
+     * The time for which a stopping node accepts connections. Clients connect for up to 0.4 s after SIGTERM, and their
+     * requests follow at once.
      */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
 
--- a/node/src/main/java/tansypass/node/request/RequestAttempt.java
+++ b/node/src/main/java/tansypass/node/request/RequestAttempt.java
@@ -80,7 +80,7 @@
         return ended;
     }
 
-    /** Returns whether the attempt has been assigned a connection; a part of it may then have reached a server. */
+    /** Returns whether the attempt has been assigned a connection. If so, a part of it may have reached a server. */
     boolean isDispatched() {
         return upstreamAttempt != null && upstreamAttempt.isDispatched();
     }
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnection.java
@@ -16,7 +16,7 @@
     private final int generation;
     private final Channel channel;
     private final UpstreamExchange exchange;
-    /** Whether the connection has carried an attempt; only then can it be in quarantine. */
+    /** True if the connection has carried an attempt. Only then can it be in quarantine. */
     private boolean hasCarriedAttempt;
 
     private long idleSinceNanos;
--- a/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamConnectionPool.java
@@ -27,7 +27,8 @@
  */
 public final class UpstreamConnectionPool {
     /** The time for which a connection is not reused after a response. According to the operators, some servers send
-     * surplus bytes a few milliseconds after a response; a request written by then would get them as its response. */
+     * surplus bytes a few milliseconds after a response. A request written before they arrive would get them as its
+     * response. */
     public static final long QUARANTINE_MS = 10;
     /** The time for which a server may send nothing of a long response, or read nothing of a request, before the
      * attempt ends. A server that is alive does not pause for seconds. */
@@ -63,8 +64,8 @@
             long quarantineMs) {
         this.loop = loop;
         this.descriptors = descriptors;
-        // Before the servers do: if a server closes a connection just as a request is written to it, it is unknown
-        // whether the request was executed.
+        // The pool closes idle connections before the servers do. If a server closes a connection just as a request is
+        // written to it, it is unknown whether the request was executed.
         idleTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(serverIdleTimeoutUs) / 2;
         quarantineNanos = TimeUnit.MILLISECONDS.toNanos(quarantineMs);
         connectTimeoutMs = (int) Math.max(1, connectTimeoutUs / US_PER_MS);
--- a/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/tansypass/node/upstream/UpstreamExchange.java
@@ -30,7 +30,8 @@
     /** Receives the end of exchanges; implemented by the connection. */
     interface Listener {
         /**
-         * Called when the response is complete, before it is reported. The connection may start another exchange.
+         * Called when the response is complete, before it is reported. A reusable connection may start another exchange
+         * during the call.
          *
          * @param reusable whether the connection can be reused
          */
@@ -47,7 +48,7 @@
     /** The attempt in flight; null while the connection is idle. */
     private UpstreamAttempt attempt;
 
-    /** Whether the request's last byte has been written to the socket. */
+    /** True if the request's last byte has been written to the socket. */
     private boolean requestWritten;
     /** Writes the body after the request's head; null if the message included the body. */
     private RequestBodyWriter bodyWriter;
@@ -56,7 +57,7 @@
     /** The result of a response that is complete but not yet reported; null otherwise. */
     private AttemptResult unreportedResult;
 
-    /** Whether the connection can be reused after the current response. */
+    /** True if the connection can be reused after the current response. */
     private boolean reusable;
 
     private ScheduledFuture<?> bufferingTimer;
--- a/node/src/main/java/tansypass/simulator/EventLineReader.java
+++ b/node/src/main/java/tansypass/simulator/EventLineReader.java
@@ -11,7 +11,7 @@
  */
 final class EventLineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
-    private static final int INITIAL_FIELDS = 16;
+    private static final int INITIAL_FIELD_CAPACITY = 16;
     /** Each number of up to this many digits fits in a long. */
     private static final int MAX_DIGITS = 18;
     /** Number of hexadecimal digits in a request id. */
@@ -33,11 +33,11 @@
 
     private int fieldCount;
     /** Index of the first byte of each field's key. */
-    private int[] keyStarts = new int[INITIAL_FIELDS];
+    private int[] keyStarts = new int[INITIAL_FIELD_CAPACITY];
     /** Index of the first byte of each field's value. */
-    private int[] valueStarts = new int[INITIAL_FIELDS];
+    private int[] valueStarts = new int[INITIAL_FIELD_CAPACITY];
     /** Index after the last byte of each field's value. */
-    private int[] valueEnds = new int[INITIAL_FIELDS];
+    private int[] valueEnds = new int[INITIAL_FIELD_CAPACITY];
 
     EventLineReader(InputStream in) {
         this.in = in;
--- a/node/src/test/java/tansypass/balancer/ClusterSizeTest.java
+++ b/node/src/test/java/tansypass/balancer/ClusterSizeTest.java
@@ -8,7 +8,7 @@
 
 /** A node's share of the concurrency limits follows the reported number of nodes. */
 class ClusterSizeTest {
-    private static final int REQUESTS = 40;
+    private static final int BURST_REQUESTS = 40;
 
     private static BalancerHarness createNode(int nodes) {
         BalancerSettings.Builder settings = BalancerHarness.createSettings();
@@ -18,7 +18,7 @@
 
     /** Submits 40 requests at the same time, and returns the number sent immediately. */
     private static long sendBurst(BalancerHarness node) {
-        long[] ids = LongStream.range(0, REQUESTS)
+        long[] ids = LongStream.range(0, BURST_REQUESTS)
                 .map(i -> node.submitRequest(BalancerHarness.IDEMPOTENT))
                 .toArray();
         return LongStream.of(ids).filter(id -> node.countAttempts(id) > 0).count();
--- a/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
+++ b/node/src/test/java/tansypass/balancer/LoadBalancingTest.java
@@ -44,16 +44,16 @@
     void selectsLessLoadedServerDespiteOneFailure() {
         BalancerHarness node = new BalancerHarness().withServers(2);
         long id = node.submitRequest(BalancerHarness.NON_IDEMPOTENT);
-        String failing = node.lastAttempt(id).server();
+        String failingServer = node.lastAttempt(id).server();
         node.endAttempt(id, AttemptResult.ERROR, 1_000);
-        long inFlight = node.submitRequest(BalancerHarness.IDEMPOTENT);
-        String other = node.lastAttempt(inFlight).server();
+        long inFlightId = node.submitRequest(BalancerHarness.IDEMPOTENT);
+        String otherServer = node.lastAttempt(inFlightId).server();
         // After a single error both servers are still drawn, and the one with fewer attempts in flight is selected.
-        String lessLoaded = other.equals("s0") ? "s1" : "s0";
+        String lessLoaded = otherServer.equals("s0") ? "s1" : "s0";
         assertEquals(
                 lessLoaded,
                 node.lastAttempt(node.submitRequest(BalancerHarness.IDEMPOTENT)).server());
-        assertTrue(List.of("s0", "s1").contains(failing));
+        assertTrue(List.of("s0", "s1").contains(failingServer));
     }
 
     @Test
@@ -212,18 +212,18 @@
         settings.overQuotaWeight(0.1);
         settings.tenants(List.of(new Tenant("overQuota", 1), new Tenant("withinQuota", 100)));
         BalancerHarness node = new BalancerHarness(settings, 3).withServers(1);
-        List<Long> first = new ArrayList<>();
+        List<Long> firstIds = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            first.add(node.submitRequest(BalancerHarness.IDEMPOTENT, 1, 1_000_000));
+            firstIds.add(node.submitRequest(BalancerHarness.IDEMPOTENT, 1, 1_000_000));
         }
-        List<Long> overQuota = new ArrayList<>();
+        List<Long> overQuotaIds = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            overQuota.add(node.submitRequest(BalancerHarness.IDEMPOTENT, 0, 1_000_000));
+            overQuotaIds.add(node.submitRequest(BalancerHarness.IDEMPOTENT, 0, 1_000_000));
         }
-        long withinQuota = node.submitRequest(BalancerHarness.IDEMPOTENT, 1, 1_000_000);
-        first.forEach(id -> node.endAttempt(id, AttemptResult.OK, 1_000));
+        long withinQuotaId = node.submitRequest(BalancerHarness.IDEMPOTENT, 1, 1_000_000);
+        firstIds.forEach(id -> node.endAttempt(id, AttemptResult.OK, 1_000));
         assertEquals(
-                List.of(overQuota.get(0), withinQuota, overQuota.get(1), overQuota.get(2)),
+                List.of(overQuotaIds.get(0), withinQuotaId, overQuotaIds.get(1), overQuotaIds.get(2)),
                 node.sentAttempts.stream()
                         .skip(4)
                         .limit(4)
@@ -237,12 +237,12 @@
         settings.nodes(8);
         BalancerHarness node = new BalancerHarness(settings, 3).withServers(1);
         node.runRequest(BalancerHarness.IDEMPOTENT, AttemptResult.OK, 150_000);
-        long first = node.submitRequest(BalancerHarness.IDEMPOTENT);
-        long second = node.submitRequest(BalancerHarness.IDEMPOTENT);
-        assertEquals(1, node.countAttempts(first));
-        assertEquals(0, node.countAttempts(second));
-        node.endAttempt(first, AttemptResult.OK, 20_000);
-        assertEquals(1, node.countAttempts(second));
+        long firstId = node.submitRequest(BalancerHarness.IDEMPOTENT);
+        long secondId = node.submitRequest(BalancerHarness.IDEMPOTENT);
+        assertEquals(1, node.countAttempts(firstId));
+        assertEquals(0, node.countAttempts(secondId));
+        node.endAttempt(firstId, AttemptResult.OK, 20_000);
+        assertEquals(1, node.countAttempts(secondId));
     }
 
     @Test
@@ -317,15 +317,14 @@
 
     @Test
     void throttlesWhenAllResponsesAreLateAndRecoversQuickly() {
-        // Guards against nodes without throttling, which keep servers overloaded after these have become slow under
-        // load.
+        // Guards against nodes that do not throttle: they keep servers overloaded that have become slow under load.
         BalancerHarness node = new BalancerHarness().withServers(10);
         runRequests(node, 60, 20_000);
-        int overloaded = runRequests(node, 200, 300_000);
-        assertTrue(overloaded <= 45, "sent while all responses are late: " + overloaded);
+        int sentWhileLate = runRequests(node, 200, 300_000);
+        assertTrue(sentWhileLate <= 45, "sent while all responses are late: " + sentWhileLate);
         runRequests(node, 150, 20_000);
-        int recovered = runRequests(node, 100, 20_000);
-        assertTrue(recovered >= 50, "sent once responses are fast again: " + recovered);
+        int sentAfterRecovery = runRequests(node, 100, 20_000);
+        assertTrue(sentAfterRecovery >= 50, "sent once responses are fast again: " + sentAfterRecovery);
     }
 
     /** Submits requests at intervals of 20 ms, completes all attempts, and returns the number of attempts sent. */
--- a/node/src/test/java/tansypass/balancer/OutlierDetectionTest.java
+++ b/node/src/test/java/tansypass/balancer/OutlierDetectionTest.java
@@ -127,11 +127,11 @@
                 new BalancerHarness(BalancerHarness.createSettingsWithResidualWeight(), 7).withServers(2);
         for (int round = 0; round < 80; round++) {
             // Send one request more than the limits admit: limits are raised only if they have been reached.
-            List<Long> burst = new ArrayList<>();
+            List<Long> burstIds = new ArrayList<>();
             do {
-                burst.add(node.submitRequest(BalancerHarness.IDEMPOTENT));
-            } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
-            burst.forEach(id -> node.endAttempt(id, AttemptResult.OK, 100));
+                burstIds.add(node.submitRequest(BalancerHarness.IDEMPOTENT));
+            } while (node.lastAttempt(burstIds.get(burstIds.size() - 1)) != null && burstIds.size() < 40);
+            burstIds.forEach(id -> node.endAttempt(id, AttemptResult.OK, 100));
         }
         List<Long> overload = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
--- a/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
+++ b/node/src/test/java/tansypass/balancer/ProtocolRulesTest.java
@@ -63,11 +63,11 @@
                             createServer("b", 0, 1, ServerState.READY),
                             createServer("y", 1, 2, ServerState.READY)));
             long id = node.submitRequest(classIndex);
-            String first = node.lastAttempt(id).server();
+            String firstServer = node.lastAttempt(id).server();
             node.endAttempt(id, AttemptResult.RESET, 1_000);
-            String second = node.lastAttempt(id).server();
+            String secondServer = node.lastAttempt(id).server();
             assertEquals(2, node.countAttempts(id));
-            assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
+            assertTrue((firstServer + secondServer).matches("ab|ba|xy|yx"), firstServer + secondServer);
         }
     }
 
@@ -111,14 +111,14 @@
     @Test
     void timeoutAtDeadlineEndsRequestWithoutRetry() {
         BalancerHarness node = new BalancerHarness().withServers(3);
-        long idempotent = node.submitRequest(BalancerHarness.IDEMPOTENT, 100_000);
-        long nonIdempotent = node.submitRequest(BalancerHarness.NON_IDEMPOTENT, 100_000);
-        node.endAttempt(idempotent, AttemptResult.TIMEOUT, 100_000);
-        node.endAttempt(nonIdempotent, AttemptResult.TIMEOUT, 0);
-        assertEquals(List.of(idempotent), node.rejectedIds);
-        assertEquals(List.of(nonIdempotent), node.failedIds);
+        long idempotentId = node.submitRequest(BalancerHarness.IDEMPOTENT, 100_000);
+        long nonIdempotentId = node.submitRequest(BalancerHarness.NON_IDEMPOTENT, 100_000);
+        node.endAttempt(idempotentId, AttemptResult.TIMEOUT, 100_000);
+        node.endAttempt(nonIdempotentId, AttemptResult.TIMEOUT, 0);
+        assertEquals(List.of(idempotentId), node.rejectedIds);
+        assertEquals(List.of(nonIdempotentId), node.failedIds);
         node.advance(1_000_000);
-        assertEquals(1, node.countAttempts(idempotent));
+        assertEquals(1, node.countAttempts(idempotentId));
     }
 
     @Test
--- a/node/src/test/java/tansypass/balancer/SlowStartTest.java
+++ b/node/src/test/java/tansypass/balancer/SlowStartTest.java
@@ -87,8 +87,8 @@
 
     @Test
     void slowStartDoesNotRaiseConcurrencyLimitOfWarmingServer() {
-        // Guards against fast responses to single requests that raise the limit so far that the server is overloaded
-        // once it is warm.
+        // Guards against a limit that grows too far: fast responses to single requests raise it, and the server is
+        // overloaded once it is warm.
         BalancerSettings.Builder settings = BalancerHarness.createSettings();
         settings.nodes(8);
         BalancerHarness node = new BalancerHarness(settings, 5);
--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -292,10 +292,10 @@
     }
 
     /**
-     * The load balancer takes a request with 20 s left of 30 s for a client's retry after 10 s, which has missed its
-     * latency objective, unless most requests have that much time left. A pipelined request that has waited for more
-     * than the tolerance (2 % of 30 s) has less time left than most. Only then may it be rejected (503), before it is
-     * forwarded.
+     * The load balancer takes a request that has 20 s of its 30 s left for a client's retry after 10 s, unless most
+     * requests arrive with that much time left. Such a retry has missed its latency objective. A pipelined request that
+     * has waited for longer than the tolerance (2 % of 30 s) has less time left than most requests. If it had 20 s left
+     * when it was sent, it may therefore be rejected (503) before it is forwarded; if it had 30 s left, it is served.
      */
     @ParameterizedTest
     @CsvSource({"30000, 200, 2", "20000, 503, 1"})
--- a/node/src/test/java/tansypass/node/lifecycle/ArrivalEstimatorTest.java
+++ b/node/src/test/java/tansypass/node/lifecycle/ArrivalEstimatorTest.java
@@ -28,22 +28,22 @@
         }
     }
 
-    /** One poll ends at 10 ms; then the loop has a turn, and polls again, blocking if it has a timeout. */
+    /** The first poll ends at 10 ms. The event loop then runs tasks and polls again, blocking if it has a timeout. */
     @ParameterizedTest
     @CsvSource({
-        "400, -1, 0, 10", // tasks wait: found at once, since any time in the turn
-        "400, 50, 0, 10", // found at once although it may block
-        "400, -1, 30, 10", // kept from running within a poll that does not wait
-        "400, 50, 20, 430", // waited, and woken by what it found
-        "0, 50, 50, 60", // waited to the end
-        "0, 50, 350, 60", // kept from running past the timeout
+        "400, -1, 0, 10", // non-blocking poll, because tasks wait: events may have come since the last poll
+        "400, 50, 0, 10", // the same for a poll that may block and finds events at once
+        "400, -1, 30, 10", // the thread does not run for a while within a non-blocking poll
+        "400, 50, 20, 430", // the poll waits until events arrive
+        "0, 50, 50, 60", // the poll waits until its timeout
+        "0, 50, 350, 60", // the thread does not run again until after the timeout
     })
-    void estimate(int turnMs, int timeoutMs, int pollMs, int expectedMs) {
+    void estimatesEarliestArrival(int betweenPollsMs, int timeoutMs, int pollMs, int expectedMs) {
         ArrivalEstimator estimator = new ArrivalEstimator(() -> TimeUnit.MILLISECONDS.toNanos(nowMs));
         WaitingIoHandler delegate = new WaitingIoHandler();
         PollTimingIoHandler handler = new PollTimingIoHandler(delegate, estimator);
         handler.run(new StubIoHandler.StubContext(false, 0));
-        nowMs += turnMs;
+        nowMs += betweenPollsMs;
         delegate.waitMs = pollMs;
         handler.run(new StubIoHandler.StubContext(timeoutMs >= 0, TimeUnit.MILLISECONDS.toNanos(timeoutMs)));
         nowMs += 5;
