--- a/node/src/test/java/tansypass/node/ConnectionCloseTest.java
+++ b/node/src/test/java/tansypass/node/ConnectionCloseTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** Bytes that arrive just as a node closes a connection or shuts down, and floods of connections and requests. */
+/** Data that arrives just as a node closes a connection or shuts down, and floods of connections and requests. */
 @Timeout(120)
 class ConnectionCloseTest extends RunningNodeTestBase {
-    /** The deadline of a request over all attempts of its client, by the settings. */
+    /** The deadline of a request in the settings, which covers all retries by its client. */
     private static final int DEADLINE_MS = 30_000;
-    /** Pipelined requests sent before another client's request. */
+    /** The number of pipelined requests that are sent before another client's request. */
     private static final int PIPELINED_FIRST = 50;
 
     private JsonObject createConfig() {
@@ -47,97 +47,101 @@
         return client;
     }
 
-    /** Asserts that the request was answered and forwarded once, or not forwarded; returns whether it was answered. */
-    private boolean assertAnsweredOrUnread(Socket client, long id) throws Exception {
+    /**
+     * Asserts that the request either got a response and was forwarded once, or got none and was not forwarded.
+     *
+     * @return whether the request got a response
+     */
+    private boolean assertRespondedOrUnread(Socket client, long id) throws Exception {
         String response = null;
         try {
             response = FakePeer.readMessage(client);
         } catch (IOException e) {
-            // The connection was reset, since it was closed with unread input.
+            // The node closed the connection with unread input, which resets it.
             response = null;
         }
         node.loop.submit(() -> {}).get();
-        long sent = server.requests.stream()
+        long forwardedCount = server.requests.stream()
                 .filter(r -> r.contains(String.format("%016x", id)))
                 .count();
-        assertEquals(response == null ? 0 : 1, sent, response);
+        assertEquals(response == null ? 0 : 1, forwardedCount, response);
         assertTrue(response == null || response.endsWith("done"), response);
         return response != null;
     }
 
     @ParameterizedTest
     @CsvSource({"8, true", "8, false", "12, true", "12, false"})
-    void answersOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + sockets);
-        node = new RunningNode(json);
-        int unread = 0;
+    void respondsOrClosesUnreadRequestOnReclaimedIdleConnection(int sockets, boolean requestFirst) throws Exception {
+        JsonObject configJson = createConfig();
+        configJson.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + sockets);
+        node = new RunningNode(configJson);
+        int unreadCount = 0;
         for (int i = 1; i < 60; i += 2) {
-            Socket idle = openIdle(i);
+            Socket idleClient = openIdle(i);
             CountDownLatch release = node.blockEventLoop();
             if (requestFirst) {
-                FakePeer.write(idle, get(i + 1));
+                FakePeer.write(idleClient, get(i + 1));
             }
-            List<Socket> others = new ArrayList<>();
+            List<Socket> otherClients = new ArrayList<>();
             for (int j = 0; j < sockets; j++) {
-                others.add(node.connect());
+                otherClients.add(node.connect());
             }
             if (!requestFirst) {
-                FakePeer.write(idle, get(i + 1));
+                FakePeer.write(idleClient, get(i + 1));
             }
             release.countDown();
-            unread += assertAnsweredOrUnread(idle, i + 1) ? 0 : 1;
-            for (Socket other : others) {
-                other.close();
+            unreadCount += assertRespondedOrUnread(idleClient, i + 1) ? 0 : 1;
+            for (Socket otherClient : otherClients) {
+                otherClient.close();
             }
-            idle.close();
+            idleClient.close();
         }
-        assertTrue(requestFirst || unread > 0, "never closed in that moment");
+        assertTrue(requestFirst || unreadCount > 0, "no connection was closed before its request was read");
     }
 
-    /** The event loop is blocked from one time after the shutdown began to another, across a step of the shutdown. */
+    /** The event loop is blocked between two times after the start of the shutdown, across one of its steps. */
     @ParameterizedTest
     @CsvSource({"20, 250", "300, 590", "500, 640", "580, 690"})
-    void answersOrClosesUnreadRequestDuringShutdown(long fromMs, long untilMs) throws Exception {
+    void respondsOrClosesUnreadRequestDuringShutdown(long blockedFromMs, long blockedUntilMs) throws Exception {
         node = new RunningNode(createConfig());
-        Socket idle = openIdle(1);
-        CountDownLatch held = new CountDownLatch(1);
+        Socket idleClient = openIdle(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch stopped = new CountDownLatch(1);
-        long from = node.loop
+        long stopStartedNs = node.loop
                 .submit(() -> {
                     node.node.stop(stopped::countDown);
                     node.loop.schedule(
                             () -> {
-                                held.countDown();
+                                blocked.countDown();
                                 Fixture.awaitLatch(release);
                             },
-                            fromMs,
+                            blockedFromMs,
                             TimeUnit.MILLISECONDS);
                     return System.nanoTime();
                 })
                 .get();
-        assertTrue(held.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
-        Socket late = null;
+        assertTrue(blocked.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
+        Socket lateClient = null;
         try {
-            late = node.connect();
-            FakePeer.write(late, get(3));
+            lateClient = node.connect();
+            FakePeer.write(lateClient, get(3));
         } catch (IOException e) {
-            assertTrue(fromMs >= 580, "refused while connections still come");
+            assertTrue(blockedFromMs >= 580, "refused while the node still accepts connections");
         }
-        while (System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(untilMs)) {
+        while (System.nanoTime() - stopStartedNs < TimeUnit.MILLISECONDS.toNanos(blockedUntilMs)) {
             Thread.onSpinWait();
         }
-        FakePeer.write(idle, get(2));
+        FakePeer.write(idleClient, get(2));
         release.countDown();
-        assertTrue(assertAnsweredOrUnread(idle, 2) || untilMs > 400, "closed early");
-        if (late != null) {
-            assertTrue(assertAnsweredOrUnread(late, 3), "taken and not answered");
+        assertTrue(assertRespondedOrUnread(idleClient, 2) || blockedUntilMs > 400, "closed too early");
+        if (lateClient != null) {
+            assertTrue(assertRespondedOrUnread(lateClient, 3), "accepted without a response");
         }
         assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /** The client reads so slowly that the kernel still holds much of the response when the connection is closed. */
+    /** When the node closes the connection, the kernel still buffers much of the response for the slow client. */
     @ParameterizedTest
     @ValueSource(ints = {8_000, 50_000, 300_000, 1_000_000})
     void lingeringCloseProtectsResponseFromUnreadInput(int length) throws Exception {
@@ -156,21 +160,21 @@
             client.connect(new InetSocketAddress("127.0.0.1", node.port));
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", 1, "Connection: close\r\n", ""));
             server.nextRequest();
-            Socket attempt = FakePeer.awaitNext(server.accepted);
-            // The request is announced before the script runs: the last byte must not overtake the others.
+            Socket attemptSocket = FakePeer.awaitNext(server.accepted);
+            // The request is queued before the script runs; the last byte must follow the script's bytes.
             assertTrue(allButLastByteWritten.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             CountDownLatch release = node.blockEventLoop();
-            attempt.setTcpNoDelay(true);
-            // In one iteration of the event loop: the last byte of the response, then input that is never read.
-            attempt.getOutputStream().write(body, length - 1, 1);
+            attemptSocket.setTcpNoDelay(true);
+            // One iteration of the event loop sees the last byte of the response, and input that is never read.
+            attemptSocket.getOutputStream().write(body, length - 1, 1);
             FakePeer.write(client, get(2));
             release.countDown();
             node.awaitMetric("in_flight", 0);
             node.loop.submit(() -> {}).get();
-            byte[] got = client.getInputStream().readAllBytes();
-            int head = got.length - length;
-            assertTrue(head > 0 && head < 500, "cut off after " + got.length);
-            assertArrayEquals(body, Arrays.copyOfRange(got, head, got.length));
+            byte[] received = client.getInputStream().readAllBytes();
+            int headLength = received.length - length;
+            assertTrue(headLength > 0 && headLength < 500, "cut off after " + received.length);
+            assertArrayEquals(body, Arrays.copyOfRange(received, headLength, received.length));
         }
         assertEquals(0, server.requests.size(), "read and forwarded after the close");
     }
@@ -185,14 +189,15 @@
                 "HTTP/1.1 503 No\r\n"
             })
     void ignoresPartialResponseAndPartialWatchEventDuringShutdown(String partialResponse) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("settings")
+        JsonObject configJson = createConfig();
+        configJson
+                .getAsJsonObject("settings")
                 .getAsJsonArray("classes")
                 .get(2)
                 .getAsJsonObject()
                 .addProperty("giveUpUs", 900_000);
         server.setScript(FakePeer.respondRaw(partialResponse));
-        node = new RunningNode(json);
+        node = new RunningNode(configJson);
         Socket client = node.connect();
         FakePeer.write(
                 client,
@@ -205,11 +210,11 @@
             String response = FakePeer.readMessage(client);
             if (response.startsWith("HTTP/1.1 200")) {
                 client.getInputStream().readAllBytes();
-                fail("a response that was cut off looked complete: " + response);
+                fail("a truncated response looked complete: " + response);
             }
             assertTrue(response.startsWith("HTTP/1.1 5") && !response.startsWith("HTTP/1.1 503"), response);
         } catch (IOException e) {
-            // Cut off after its start, which the client can tell.
+            // The response was aborted after its start, which the client can detect.
             assertTrue(partialResponse.contains("chunked"), partialResponse);
         }
         assertTrue(stopped.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
@@ -219,80 +224,83 @@
 
     @Test
     void servesOthersAndForwardsNothingOfThousandsThatDisconnect() throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("limits").addProperty("sockets", 256);
-        node = new RunningNode(json);
+        JsonObject configJson = createConfig();
+        configJson.getAsJsonObject("limits").addProperty("sockets", 256);
+        node = new RunningNode(configJson);
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 20; round++) {
             CountDownLatch release = node.blockEventLoop();
             for (int i = 0; i < 150; i++) {
                 try (Socket client = new Socket("127.0.0.1", node.port)) {
-                    String pipelining = get(1_000 + 1_000 * round + 5 * i) + get(1_001 + 1_000 * round + 5 * i);
-                    FakePeer.write(client, pipelining.substring(0, random.nextInt(pipelining.length() + 1)));
+                    String pipelinedRequests = get(1_000 + 1_000 * round + 5 * i) + get(1_001 + 1_000 * round + 5 * i);
+                    FakePeer.write(
+                            client, pipelinedRequests.substring(0, random.nextInt(pipelinedRequests.length() + 1)));
                     client.setSoLinger(random.nextBoolean(), 0);
                 }
             }
             release.countDown();
-            Socket stays = node.connect();
-            FakePeer.write(stays, get(round));
-            assertTrue(FakePeer.readMessage(stays).endsWith("done"));
+            Socket connectedClient = node.connect();
+            FakePeer.write(connectedClient, get(round));
+            assertTrue(FakePeer.readMessage(connectedClient).endsWith("done"));
             assertTrue(
                     server.nextRequest().contains(String.format("%016x", round)),
                     "forwarded after the client had disconnected");
-            stays.close();
+            connectedClient.close();
         }
         node.awaitMetric("in_flight", 0);
         assertEquals(0, server.requests.size());
         assertTrue(server.accepted.size() < 50, server.accepted.size() + " connections for 20 requests");
     }
 
-    /** The requests wait for one another; each has the deadline of its class left. */
+    /** The requests wait for each other, and each is sent with the deadline of its class as its remaining time. */
     @ParameterizedTest
     @ValueSource(ints = {200, 600})
-    void servesHundredsOfPipelinedRequestsAndAnotherClientMeanwhile(int requests) throws Exception {
-        JsonObject json = createConfig();
-        json.getAsJsonObject("settings")
+    void servesHundredsOfPipelinedRequestsAndAnotherClientMeanwhile(int requestCount) throws Exception {
+        JsonObject configJson = createConfig();
+        configJson
+                .getAsJsonObject("settings")
                 .getAsJsonArray("realms")
                 .get(0)
                 .getAsJsonObject()
                 .addProperty("quotaPerS", 0);
-        node = new RunningNode(json);
-        Socket pipelining = node.connect();
-        StringBuilder all = new StringBuilder();
-        int first = 0;
-        for (int i = 0; i < requests; i++) {
-            all.append(getWithin(DEADLINE_MS, 1_000 + i));
-            first = i < PIPELINED_FIRST ? all.length() : first;
+        node = new RunningNode(configJson);
+        Socket pipeliningClient = node.connect();
+        StringBuilder pipelinedRequests = new StringBuilder();
+        int firstLength = 0;
+        for (int i = 0; i < requestCount; i++) {
+            pipelinedRequests.append(getWithin(DEADLINE_MS, 1_000 + i));
+            firstLength = i < PIPELINED_FIRST ? pipelinedRequests.length() : firstLength;
         }
-        Socket other = node.connect();
+        Socket otherClient = node.connect();
         CountDownLatch release = node.blockEventLoop();
-        FakePeer.write(pipelining, all.substring(0, first));
-        FakePeer.write(other, getWithin(DEADLINE_MS, 1));
+        FakePeer.write(pipeliningClient, pipelinedRequests.substring(0, firstLength));
+        FakePeer.write(otherClient, getWithin(DEADLINE_MS, 1));
         release.countDown();
-        FakePeer.write(pipelining, all.substring(first));
-        assertTrue(FakePeer.readMessage(other).endsWith("done"));
-        for (int i = 0; i < requests; i++) {
-            String response = FakePeer.readMessage(pipelining);
+        FakePeer.write(pipeliningClient, pipelinedRequests.substring(firstLength));
+        assertTrue(FakePeer.readMessage(otherClient).endsWith("done"));
+        for (int i = 0; i < requestCount; i++) {
+            String response = FakePeer.readMessage(pipeliningClient);
             assertTrue(response != null && response.endsWith("done"), i + ": " + response);
         }
-        assertEquals(requests + 1, server.requests.size(), "forwarded and not served, or twice");
-        List<String> sent = List.copyOf(server.requests);
-        int place = sent.indexOf(sent.stream()
+        assertEquals(requestCount + 1, server.requests.size(), "forwarded and not served, or twice");
+        List<String> forwarded = List.copyOf(server.requests);
+        int position = forwarded.indexOf(forwarded.stream()
                 .filter(request -> request.contains(String.format("%016x", 1)))
                 .findFirst()
                 .orElseThrow());
-        assertTrue(place < PIPELINED_FIRST, "waited behind " + place + " requests of another client");
+        assertTrue(position < PIPELINED_FIRST, "waited behind " + position + " requests of another client");
     }
 
     /**
-     * A request with 20 s left of 30 s is taken to be a client's retry after 10 s, with its objective missed, unless
-     * most requests have so much left. One that has waited behind another for more than the tolerance (2 % of 30 s) has
-     * less than most: it may be rejected (503) then, before it is forwarded, and in no other case.
+     * The load balancer takes a request that has 20 s of its 30 s left for a client's retry after 10 s, unless most
+     * requests arrive with that much time left. Such a retry has missed its latency objective. A pipelined request that
+     * has waited for longer than the tolerance (2 % of 30 s) has less time left than most requests. If it had 20 s left
+     * when it was sent, it may therefore be rejected (503) before it is forwarded; if it had 30 s left, it is served.
      */
     @ParameterizedTest
     @CsvSource({"30000, 200, 2", "20000, 503, 1"})
-    void rejectsPipelinedRequestOnlyIfItsRemainingTimeTellsOfAMissedObjective(
-            int remainingMs, String status, int forwarded) throws Exception {
+    void rejectsPipelinedRequestOnlyIfItsRemainingTimeImpliesAMissedObjective(
+            int remainingMs, String status, int forwardedCount) throws Exception {
         node = new RunningNode(createConfig());
         Socket client = node.connect();
         for (int i = 0; i < 10; i++) {
@@ -309,9 +317,9 @@
         server.nextRequest();
         node.loop.schedule(release::countDown, DEADLINE_MS * 3 / 100, TimeUnit.MILLISECONDS);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
-        String second = FakePeer.readMessage(client);
-        assertTrue(second.startsWith("HTTP/1.1 " + status), second);
-        assertEquals(forwarded - 1, server.requests.size());
+        String secondResponse = FakePeer.readMessage(client);
+        assertTrue(secondResponse.startsWith("HTTP/1.1 " + status), secondResponse);
+        assertEquals(forwardedCount - 1, server.requests.size());
     }
 
     private static String getWithin(int remainingMs, long id) {
--- a/node/src/test/java/tansypass/node/EventRaceTest.java
+++ b/node/src/test/java/tansypass/node/EventRaceTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansypass.node.lifecycle.DescriptorLimiter;
 
-/** Events that coincide in one iteration of the event loop, and the retries that each end of an attempt permits. */
+/** Events that coincide in one iteration of the event loop, and the retries that are permitted after each failure. */
 @Timeout(120)
 class EventRaceTest extends RunningNodeTestBase {
     private static final Map<String, FakePeer.Script> FAILURES = Map.of(
@@ -43,34 +43,34 @@
     }
 
     private JsonObject createConfig(String name, String repeat, String group) {
-        JsonObject json = Fixture.createConfig(discovery.peer, server, otherServer);
-        JsonObject settings = json.getAsJsonObject("settings");
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server, otherServer);
+        JsonObject settings = configJson.getAsJsonObject("settings");
         settings.add(
                 "classes",
                 JsonParser.parseString(("[{'name':'%s','repeat':'%s','group':'%s',"
                                 + "'onTimeUs':10000000,'giveUpUs':30000000,'windowUs':9000000}]")
                         .formatted(name, repeat, group)));
-        return json;
+        return configJson;
     }
 
     @Test
     void completesRequestThatArrivesAsServerClosesIdleConnection() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        node = new RunningNode(json);
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        node = new RunningNode(configJson);
         Socket client = node.connect();
         for (int i = 0; i < 20; i += 2) {
             FakePeer.write(client, Fixture.formatRequest("POST", "/order", i, "", ""));
             assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
-            Socket idle = FakePeer.awaitNext(server.accepted);
+            Socket idleConnection = FakePeer.awaitNext(server.accepted);
             CountDownLatch release = node.blockEventLoop();
             FakePeer.write(client, Fixture.formatRequest("POST", "/order", i + 1, "", ""));
-            idle.close();
+            idleConnection.close();
             release.countDown();
             String response = FakePeer.readMessage(client);
             assertTrue(response.startsWith("HTTP/1.1 200"), response);
             // The next round starts on the connection that this one opened.
-            Socket reopened = FakePeer.awaitNext(server.accepted);
-            reopened.shutdownOutput();
+            Socket reopenedConnection = FakePeer.awaitNext(server.accepted);
+            reopenedConnection.shutdownOutput();
             FakePeer.awaitNext(server.closedConnections);
             FakePeer.awaitNext(server.closedConnections);
         }
@@ -79,19 +79,19 @@
 
     @Test
     void closesIdleConnectionRatherThanOneWithPartialRequest() throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer, server);
-        json.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVE + 8);
-        node = new RunningNode(json);
-        Socket partial = node.connect();
+        JsonObject configJson = Fixture.createConfig(discovery.peer, server);
+        configJson.getAsJsonObject("limits").addProperty("sockets", DescriptorLimiter.RESERVED_DESCRIPTORS + 8);
+        node = new RunningNode(configJson);
+        Socket partialClient = node.connect();
         String request = Fixture.formatRequest("GET", "/view", 1, "", "");
-        FakePeer.write(partial, request.substring(0, 30));
+        FakePeer.write(partialClient, request.substring(0, 30));
         for (int i = 2; i < 20; i++) {
             Socket client = node.connect();
             FakePeer.write(client, Fixture.formatRequest("GET", "/view", i, "", ""));
             assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
         }
-        FakePeer.write(partial, request.substring(30));
-        String response = FakePeer.readMessage(partial);
+        FakePeer.write(partialClient, request.substring(30));
+        String response = FakePeer.readMessage(partialClient);
         assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
     }
 
@@ -123,9 +123,9 @@
         assertTrue(response.startsWith("HTTP/1.1 " + status), response);
         assertEquals(status.equals("503"), response.startsWith("HTTP/1.1 503"), response);
         node.awaitMetric("in_flight", 0);
-        int sent = server.requests.size() + otherServer.requests.size();
-        assertTrue(attempts == 1 ? sent == 1 : sent >= attempts, sent + " attempts");
-        assertEquals(sent, node.readMetric("attempts"));
+        int sentCount = server.requests.size() + otherServer.requests.size();
+        assertTrue(attempts == 1 ? sentCount == 1 : sentCount >= attempts, sentCount + " attempts");
+        assertEquals(sentCount, node.readMetric("attempts"));
     }
 
     @Test
@@ -136,7 +136,7 @@
         discovery.breakWatches();
         discovery.publish(Fixture.formatEndpointList(42, false, "Terminating", server));
         release.countDown();
-        // Excluded: the new watch has delivered the update.
+        // The server is excluded once the new watch has delivered the update.
         node.awaitMetric("web_servers_excluded", 1);
         Socket client = node.connect();
         for (int i = 0; i < 20; i++) {
--- a/node/src/test/java/tansypass/node/ExternalNamesTest.java
+++ b/node/src/test/java/tansypass/node/ExternalNamesTest.java
@@ -6,24 +6,43 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.EventLoop;
+import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.HttpResponseStatus;
+import java.lang.reflect.Proxy;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import tansypass.balancer.BalancerSettings;
+import tansypass.balancer.LoadBalancer;
 import tansypass.node.admin.NodeMetrics;
+import tansypass.node.balancing.BalancerExecutor;
+import tansypass.node.configuration.NodeConfig;
+import tansypass.node.frontend.ClientRequestParser;
+import tansypass.node.frontend.Exchange;
+import tansypass.node.frontend.HttpFrontend;
+import tansypass.node.lifecycle.DescriptorLimiter;
 import tansypass.node.lifecycle.Lifecycle;
+import tansypass.node.request.RequestDispatcher;
 import tansypass.platform.EndpointListJsonReader;
 import tansypass.platform.HandshakeSettings;
 import tansypass.platform.InvalidValueException;
 import tansypass.platform.MalformedEndpointListException;
+import tansypass.platform.NodeConfigJsonReader;
 
 /** External names, which must not change: operators' tools and the platform depend on them. */
 class ExternalNamesTest {
@@ -111,6 +130,73 @@
         }
     }
 
+    @Test
+    void bodiesOfErrorResponsesStayAsRecorded() throws Exception {
+        BiConsumer<EmbeddedChannel, RequestDispatcher> passDeadline = (timers, dispatcher) -> {
+            timers.advanceTimeBy(Fixture.REMAINING_MS, TimeUnit.MILLISECONDS);
+            timers.runScheduledPendingTasks();
+        };
+        assertEquals(
+                List.of(
+                        "409 a request of this id is in hand\n",
+                        "500 internal fault\n",
+                        "502 failed\n",
+                        "504 stopping\n",
+                        "504 out of time\n"),
+                List.of(
+                        respond(false, (timers, dispatcher) -> {}, 1, 1),
+                        respond(true, (timers, dispatcher) -> {}, 1),
+                        respond(false, (timers, dispatcher) -> dispatcher.fail(1), 1),
+                        respond(false, (timers, dispatcher) -> dispatcher.failUnanswered(), 1),
+                        respond(false, passDeadline, 1)));
+    }
+
+    /**
+     * Returns the status and body that the client of the last request gets after an action, with a load balancer that
+     * does nothing or always throws.
+     */
+    private static String respond(
+            boolean balancerThrows, BiConsumer<EmbeddedChannel, RequestDispatcher> action, long... requestIds)
+            throws Exception {
+        EmbeddedChannel timers = new EmbeddedChannel();
+        EventLoop loop = timers.eventLoop();
+        EmbeddedChannel client = null;
+        NodeMetrics metrics = new NodeMetrics(List.of("view"));
+        BalancerExecutor balancer = new BalancerExecutor(loop, metrics);
+        balancer.setBalancer((LoadBalancer) Proxy.newProxyInstance(
+                LoadBalancer.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.class},
+                (proxy, method, arguments) -> {
+                    if (balancerThrows && method.getReturnType() == void.class) {
+                        throw new IllegalStateException("thrown by the test");
+                    }
+                    return method.getReturnType() == int.class ? 0 : null;
+                }));
+        RequestDispatcher dispatcher = new RequestDispatcher(balancer, null, null, metrics);
+        try (FakePeer discovery = new FakePeer(FakePeer.SILENT)) {
+            ClientRequestParser parser = new ClientRequestParser(
+                    NodeConfigJsonReader.read(Fixture.createConfig(discovery).toString(), Map.of())
+                            .settings());
+            HttpFrontend frontend = new HttpFrontend(
+                    loop, new DescriptorLimiter(1_024), parser, new Lifecycle(), metrics, dispatcher::accept);
+            for (long requestId : requestIds) {
+                client = new EmbeddedChannel();
+                frontend.addClientHandlers(client.pipeline());
+                client.pipeline().fireChannelActive();
+                client.writeInbound(Unpooled.copiedBuffer(
+                        Fixture.formatRequest("GET", "/view", requestId, "", ""), StandardCharsets.US_ASCII));
+            }
+        }
+        action.accept(timers, dispatcher);
+        StringBuilder response = new StringBuilder();
+        for (ByteBuf part = client.readOutbound(); part != null; part = client.readOutbound()) {
+            response.append(part.toString(StandardCharsets.US_ASCII));
+            part.release();
+        }
+        String[] headAndBody = response.toString().split("\r\n\r\n", 2);
+        return headAndBody[0].split(" ", 3)[1] + " " + headAndBody[1];
+    }
+
     /** Returns the values of the components in a record's text, without the names of the components. */
     private static String extractValues(String text) {
         return Arrays.stream(text.split("[\\[\\], ]+"))
@@ -134,4 +220,77 @@
         list.getAsJsonArray("targets").get(0).getAsJsonObject().remove(key);
         assertThrows(MalformedEndpointListException.class, () -> EndpointListJsonReader.read(list));
     }
+
+    /** Sends a request to a frontend and returns the body of its response, without the line break at its end. */
+    private static String respond(String request, Consumer<Exchange> dispatcher) throws Exception {
+        try (FakePeer peer = new FakePeer(FakePeer.SILENT)) {
+            NodeConfig config = Fixture.loadConfig(Fixture.createConfig(peer, peer));
+            EmbeddedChannel channel = new EmbeddedChannel();
+            HttpFrontend frontend = new HttpFrontend(
+                    channel.eventLoop(),
+                    new DescriptorLimiter(1_024),
+                    new ClientRequestParser(config.settings()),
+                    new Lifecycle(),
+                    new NodeMetrics(List.of("view", "photo", "order", "slow")),
+                    dispatcher);
+            frontend.setWarmUpToken("token");
+            frontend.addClientHandlers(channel.pipeline());
+            channel.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
+            channel.runPendingTasks();
+            StringBuilder response = new StringBuilder();
+            for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
+                response.append(part.toString(StandardCharsets.US_ASCII));
+                part.release();
+            }
+            frontend.close();
+            channel.finishAndReleaseAll();
+            return response.substring(response.indexOf("\r\n\r\n") + 4).strip();
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET  | /nothing | X-A: b                      | unknown class of request",
+                "POST | /view    | X-A: b                      | use GET",
+                "GET  | /order   | X-A: b                      | use POST",
+                "POST | /ready   | X-A: b                      | use GET",
+                "GET  | /ready   | X-A: b                      | STARTING",
+                "GET  | /view    | X-Rehearsal: token          | rehearsed",
+                "GET  | /view    | X-Txn: 1                    | X-Txn is missing or not 16 hex digits",
+                "GET  | /view    | X-Remaining-Ms: 1.5"
+                        + "| X-Remaining-Ms is missing or no whole number of milliseconds",
+                "GET  | /view    | X-Org: nobody               | unknown X-Org",
+                "POST | /photo   | X-A: b                      | Idempotency-Key is missing",
+                "POST | /order   | Transfer-Encoding: gzip, chunked | unknown transfer coding",
+                "POST | /order   | Expect: more                | unknown expectation",
+                "POST | /order   | Content-Length: 99000000    | body over 40 MiB",
+                "GET  | /view/%9000d | X-A: b                  | request line too long",
+                "GET  | /view    | X-A: %20000d                | headers too large",
+                "GET  | /view    | X-A                         | malformed HTTP",
+                "GET  | /view    | X-A: b                      | refused, try again",
+            })
+    void responseBodiesStayAsRecorded(String method, String path, String header, String body) throws Exception {
+        // The tested header comes first: the parser takes the first of several with the same name.
+        String request = method + " " + path + " HTTP/1.1\r\n" + header + "\r\n"
+                + (header.startsWith("X-Txn") ? "" : "X-Txn: 000000000000000a\r\n")
+                + "X-Org: acme\r\nX-Remaining-Ms: 900\r\n\r\n"
+                + (header.startsWith("Transfer-Encoding") ? "0\r\n\r\n" : "");
+        assertEquals(body, respond(request.formatted(1), exchange -> exchange.reject(0)));
+    }
+
+    @Test
+    void optionalRequestHeadersStayAsRecorded() throws Exception {
+        List<String> values = new ArrayList<>();
+        respond(
+                "GET /view HTTP/1.1\r\nX-Txn: 000000000000000a\r\nX-Remaining-Ms: 900\r\n"
+                        + "X-Resent: 1\r\nX-Estimate: 70\r\n\r\n",
+                exchange -> {
+                    values.add(exchange.request().retry() + " "
+                            + exchange.request().workUs());
+                    exchange.fail(HttpResponseStatus.BAD_GATEWAY, "ended by the test");
+                });
+        assertEquals(List.of("true 70"), values);
+    }
 }
--- a/node/src/test/java/tansypass/node/StreamedRequestTest.java
+++ b/node/src/test/java/tansypass/node/StreamedRequestTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that are forwarded while they are received; the test itself reads the servers' socket. */
+/** Requests that are forwarded while they are received. The test itself accepts and reads the node's connections. */
 @Timeout(120)
 class StreamedRequestTest extends RunningNodeTestBase {
     private static final int LENGTH = HttpStreams.LENGTH;
@@ -31,16 +31,16 @@
     private Socket client;
 
     @BeforeEach
-    void listen() throws Exception {
+    void openListener() throws Exception {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.AWAIT_TIMEOUT_S));
     }
 
-    /** Starts a node with this many known servers, all of which are this test's socket. */
-    private void start(int servers) throws Exception {
-        JsonObject json = Fixture.createConfig(discovery.peer);
+    /** Starts a node whose endpoint list has this number of servers, all at the address of the test's listener. */
+    private void startNode(int serverCount) throws Exception {
+        JsonObject config = Fixture.createConfig(discovery.peer);
         StringBuilder targets = new StringBuilder();
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             targets.append(i == 0 ? "" : ",")
                     .append("{\"uid\":\"s-")
                     .append(i)
@@ -48,14 +48,14 @@
                     .append(listener.getLocalPort())
                     .append("\",\"az\":\"a\",\"state\":\"Ready\"}");
         }
-        json.add("known", JsonParser.parseString("{\"rev\":41,\"all\":true,\"targets\":[" + targets + "]}"));
-        node = new RunningNode(json);
+        config.add("known", JsonParser.parseString("{\"rev\":41,\"all\":true,\"targets\":[" + targets + "]}"));
+        node = new RunningNode(config);
         client = node.connect();
         client.setTcpNoDelay(true);
     }
 
     @AfterEach
-    void stopListening() throws IOException {
+    void closeListener() throws IOException {
         listener.close();
     }
 
@@ -75,34 +75,34 @@
                 .replace("Content-Length: 0\r\n", "");
     }
 
-    /** Sends the head and the first bytes of a request; returns the connection on which its head has arrived. */
+    /** Sends the head and first bytes of a request; returns the node's connection, with the head already read. */
     private Socket startUpload(int length, int sentBytes) throws IOException {
         FakePeer.write(client, formatHead(1, length));
         HttpStreams.write(client, 0, sentBytes);
-        Socket attempt = accept();
-        HttpStreams.readHead(attempt);
-        return attempt;
+        Socket attemptSocket = accept();
+        HttpStreams.readHead(attemptSocket);
+        return attemptSocket;
     }
 
     @Test
     void forwardsFirstBytesBeforeRequestIsComplete() throws Exception {
-        start(1);
+        startNode(1);
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
-        Socket attempt = accept();
-        String head = HttpStreams.readHead(attempt);
+        Socket attemptSocket = accept();
+        String head = HttpStreams.readHead(attemptSocket);
         assertTrue(head.startsWith("POST /order HTTP/1.1\r\n"), head);
         assertEquals(Integer.toString(LENGTH), FakePeer.findHeader(head, "Content-Length"));
-        byte[] got = new byte[LENGTH];
-        assertEquals(100_000, attempt.getInputStream().readNBytes(got, 0, 100_000));
+        byte[] forwarded = new byte[LENGTH];
+        assertEquals(100_000, attemptSocket.getInputStream().readNBytes(forwarded, 0, 100_000));
         assertEquals(0, node.readMetric("in_flight"), "admitted before its last byte");
         HttpStreams.write(client, 100_000, LENGTH);
-        assertEquals(LENGTH - 100_000, attempt.getInputStream().readNBytes(got, 100_000, LENGTH - 100_000));
-        assertArrayEquals(BODY, got);
-        FakePeer.write(attempt, RESPONSE);
+        assertEquals(LENGTH - 100_000, attemptSocket.getInputStream().readNBytes(forwarded, 100_000, LENGTH - 100_000));
+        assertArrayEquals(BODY, forwarded);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
-        // The connections are reused, by short requests and long ones.
-        respondToAll(attempt);
+        // The connections are reused, by both short and long requests.
+        respondToAll(attemptSocket);
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Responds to all further requests on a connection, on a thread of its own. */
+    /** Responds to all further requests on a connection, on a new thread. */
     private static void respondToAll(Socket connection) {
         Thread thread = new Thread(() -> {
             try {
@@ -140,60 +140,63 @@
 
     @Test
     void forwardsChunksWithTrailersReceivedByteByByte() throws Exception {
-        start(1);
+        startNode(1);
         String text = formatChunkedHead(1) + "3;ext=1\r\nabc\r\n";
         for (int i = 0; i < text.length(); i++) {
             FakePeer.write(client, text.substring(i, i + 1));
         }
         FakePeer.write(client, Integer.toHexString(LENGTH) + "\r\n");
         HttpStreams.write(client, 0, LENGTH);
-        Socket attempt = accept();
-        assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(attempt), "Transfer-Encoding"));
+        Socket attemptSocket = accept();
+        assertEquals("chunked", FakePeer.findHeader(HttpStreams.readHead(attemptSocket), "Transfer-Encoding"));
         FakePeer.write(client, "\r\n0\r\nX-Sum: 1\r\n\r\n");
-        int got = 0;
-        for (int size = HttpStreams.readChunkSize(attempt); size > 0; size = HttpStreams.readChunkSize(attempt)) {
-            got += attempt.getInputStream().readNBytes(size).length;
-            attempt.getInputStream().readNBytes(2);
+        int forwardedBytes = 0;
+        for (int size = HttpStreams.readChunkSize(attemptSocket);
+                size > 0;
+                size = HttpStreams.readChunkSize(attemptSocket)) {
+            forwardedBytes += attemptSocket.getInputStream().readNBytes(size).length;
+            attemptSocket.getInputStream().readNBytes(2);
         }
-        assertEquals(LENGTH + 3, got);
-        FakePeer.write(attempt, RESPONSE);
+        assertEquals(LENGTH + 3, forwardedBytes);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
     @Test
     void sends100ContinueToClientThatExpectsIt() throws Exception {
-        start(1);
+        startNode(1);
         FakePeer.write(client, formatHead(1, LENGTH).replace("X-Org", "Expect: 100-continue\r\nX-Org"));
         assertTrue(HttpStreams.readHead(client).startsWith("HTTP/1.1 100 "));
         HttpStreams.write(client, 0, LENGTH);
-        Socket attempt = accept();
-        assertNull(FakePeer.findHeader(HttpStreams.readHead(attempt), "Expect"));
-        attempt.getInputStream().readNBytes(LENGTH);
-        FakePeer.write(attempt, RESPONSE);
+        Socket attemptSocket = accept();
+        assertNull(FakePeer.findHeader(HttpStreams.readHead(attemptSocket), "Expect"));
+        attemptSocket.getInputStream().readNBytes(LENGTH);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
     @Test
     void neverCompletesIncompleteRequestAtServer() throws Exception {
-        start(1);
+        startNode(1);
         // The client disconnects, sends a malformed chunk, or sends nothing more.
         FakePeer.write(client, formatHead(1, LENGTH));
         HttpStreams.write(client, 0, 100_000);
-        Socket attempt = accept();
+        Socket attemptSocket = accept();
         int port = client.getPort();
         client.close();
-        HttpStreams.readHead(attempt);
-        assertEquals(100_000, attempt.getInputStream().readAllBytes().length);
+        HttpStreams.readHead(attemptSocket);
+        assertEquals(100_000, attemptSocket.getInputStream().readAllBytes().length);
         for (String rest : new String[] {"zz\r\n", ""}) {
             client = Fixture.connect(port);
             FakePeer.write(client, formatChunkedHead(2 + rest.length()) + Integer.toHexString(LENGTH) + "\r\n");
             HttpStreams.write(client, 0, LENGTH);
             FakePeer.write(client, "\r\n" + rest);
-            attempt = accept();
-            HttpStreams.readHead(attempt);
-            byte[] got = attempt.getInputStream().readAllBytes();
-            String end = new String(Arrays.copyOfRange(got, got.length - 7, got.length), StandardCharsets.ISO_8859_1);
-            assertTrue(!end.endsWith("\r\n0\r\n\r\n"), "ended as if it were complete");
+            attemptSocket = accept();
+            HttpStreams.readHead(attemptSocket);
+            byte[] forwarded = attemptSocket.getInputStream().readAllBytes();
+            String forwardedEnd = new String(
+                    Arrays.copyOfRange(forwarded, forwarded.length - 7, forwarded.length), StandardCharsets.ISO_8859_1);
+            assertTrue(!forwardedEnd.endsWith("\r\n0\r\n\r\n"), "ended as if it were complete");
             assertTrue(HttpStreams.readHead(client).startsWith(rest.isEmpty() ? "HTTP/1.1 408" : "HTTP/1.1 400"));
             client.close();
         }
@@ -203,24 +206,26 @@
 
     @Test
     void retriesOnNextServerWhileBodyIsReplayable() throws Exception {
-        start(2);
+        startNode(2);
         int length = 100_000;
-        Socket first = startUpload(length, length - 1);
-        FakePeer.write(first, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-        Socket second = accept();
-        HttpStreams.readHead(second);
+        Socket firstAttemptSocket = startUpload(length, length - 1);
+        FakePeer.write(firstAttemptSocket, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        Socket secondAttemptSocket = accept();
+        HttpStreams.readHead(secondAttemptSocket);
         HttpStreams.write(client, length - 1, length);
-        assertArrayEquals(Arrays.copyOf(BODY, length), second.getInputStream().readNBytes(length));
-        FakePeer.write(second, RESPONSE);
+        assertArrayEquals(
+                Arrays.copyOf(BODY, length),
+                secondAttemptSocket.getInputStream().readNBytes(length));
+        FakePeer.write(secondAttemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
     }
 
     @Test
     void rejectsRequestAndClosesConnectionWhenBodyIsNotReplayable() throws Exception {
-        start(2);
-        Socket first = startUpload(LENGTH, LENGTH - 1);
-        first.getInputStream().readNBytes(LENGTH - 1);
-        FakePeer.RESET.run(first, "");
+        startNode(2);
+        Socket firstAttemptSocket = startUpload(LENGTH, LENGTH - 1);
+        firstAttemptSocket.getInputStream().readNBytes(LENGTH - 1);
+        FakePeer.RESET.run(firstAttemptSocket, "");
         String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 503"), response);
         assertEquals("close", FakePeer.findHeader(response, "Connection"));
@@ -229,46 +234,46 @@
 
     @Test
     void doesNotForwardSuccessForIncompleteRequest() throws Exception {
-        start(1);
-        Socket attempt = startUpload(LENGTH, 100_000);
-        FakePeer.write(attempt, RESPONSE);
+        startNode(1);
+        Socket attemptSocket = startUpload(LENGTH, 100_000);
+        FakePeer.write(attemptSocket, RESPONSE);
         String response = FakePeer.readMessage(client);
         assertTrue(!response.startsWith("HTTP/1.1 200"), response);
     }
 
     @Test
     void stopsReadingFromClientWhileServerDoesNotRead() throws Exception {
-        start(1);
+        startNode(1);
         int length = 32 << 20;
         FakePeer.write(client, formatHead(1, length));
-        AtomicInteger written = new AtomicInteger();
+        AtomicInteger writtenBytes = new AtomicInteger();
         Thread writer = new Thread(() -> {
             try {
-                while (written.get() < length) {
+                while (writtenBytes.get() < length) {
                     client.getOutputStream().write(new byte[1 << 16]);
-                    written.addAndGet(1 << 16);
+                    writtenBytes.addAndGet(1 << 16);
                 }
             } catch (IOException e) {
                 return;
             }
         });
         writer.start();
-        Socket attempt = accept();
-        HttpStreams.readHead(attempt);
-        // Until all is written, or nothing more was during 2,000 iterations of the event loop.
-        int last = 0;
-        for (int iterations = 0; iterations < 2_000 && last < length; iterations++) {
+        Socket attemptSocket = accept();
+        HttpStreams.readHead(attemptSocket);
+        // Ends when all is written, or when nothing was written during 2,000 iterations of the event loop.
+        int lastWritten = 0;
+        for (int iterations = 0; iterations < 2_000 && lastWritten < length; iterations++) {
             node.loop.submit(() -> {}).get();
-            iterations = written.get() == last ? iterations : 0;
-            last = written.get();
+            iterations = writtenBytes.get() == lastWritten ? iterations : 0;
+            lastWritten = writtenBytes.get();
         }
-        assertTrue(last < length / 2, "bytes that the node and its sockets took: " + last);
-        byte[] some = new byte[1 << 16];
-        int got = 0;
-        while (got < length) {
-            got += attempt.getInputStream().read(some, 0, Math.min(some.length, length - got));
+        assertTrue(lastWritten < length / 2, "bytes that the node and its sockets took: " + lastWritten);
+        byte[] buffer = new byte[1 << 16];
+        int readBytes = 0;
+        while (readBytes < length) {
+            readBytes += attemptSocket.getInputStream().read(buffer, 0, Math.min(buffer.length, length - readBytes));
         }
-        FakePeer.write(attempt, RESPONSE);
+        FakePeer.write(attemptSocket, RESPONSE);
         assertTrue(FakePeer.readMessage(client).endsWith("done"));
         writer.join();
     }
--- a/node/src/test/java/tansypass/node/WarmUpTest.java
+++ b/node/src/test/java/tansypass/node/WarmUpTest.java
@@ -24,7 +24,7 @@
 import tansypass.platform.NodeConfigJsonReader;
 import tansypass.platform.SocketAddressParser;
 
-/** The warm-up that precedes readiness. */
+/** The warm-up of a node before it reports that it is ready. */
 @Timeout(120)
 class WarmUpTest {
     private static final HotSpotDiagnosticMXBean JVM =
@@ -50,14 +50,16 @@
                     .run());
             assertTrue(ended.await(60, TimeUnit.SECONDS), "the warm-up never ended");
             int notifyInterval = 1 << readVmFlag("Tier0InvokeNotifyFreqLog");
-            int needed = notifyInterval * (readVmFlag("Tier3InvocationThreshold") / notifyInterval + 1);
-            assertTrue(self.requests.size() >= needed, self.requests.size() + " requests, expected at least " + needed);
+            int neededRequests = notifyInterval * (readVmFlag("Tier3InvocationThreshold") / notifyInterval + 1);
+            assertTrue(
+                    self.requests.size() >= neededRequests,
+                    self.requests.size() + " requests, expected at least " + neededRequests);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
     }
 
-    /** As on a machine that is too slow: the warm-up times out while its requests wait for connections. */
+    /** Simulates a machine that is too slow: the warm-up times out while its requests wait for connections. */
     @Test
     void completesWhenItTimesOutWithRequestsInFlight() throws Exception {
         EventLoopGroup group = new TestEventLoopGroup(NioIoHandler.newFactory());
@@ -66,7 +68,7 @@
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 SocketChannel first = SocketChannel.open();
                 SocketChannel second = SocketChannel.open()) {
-            // A listener with a full accept queue leaves handshakes unanswered.
+            // While the accept queue of a listener is full, the kernel answers no further handshake.
             for (SocketChannel filler : List.of(first, second)) {
                 filler.configureBlocking(false);
                 filler.connect(listener.getLocalSocketAddress());
--- a/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tansypass/node/discovery/EndpointWatchTest.java
@@ -29,7 +29,7 @@
 import tansypass.node.endpoint.EndpointList;
 import tansypass.platform.EndpointListJsonReader;
 
-/** The messages that a watch delivers and its failures, each of which is reported once. */
+/** The messages that a watch delivers, and its failures, each of which must be reported once. */
 @Timeout(120)
 class EndpointWatchTest implements EndpointWatch.Listener {
     private final BlockingQueue<EndpointList> lists = new LinkedBlockingQueue<>();
@@ -69,8 +69,10 @@
         return watch;
     }
 
-    private void assertFailsOnce() throws Exception {
-        FakePeer.awaitNext(failures);
+    /** Asserts that the watch fails once, for a reason that starts with the text, which operators see in the log. */
+    private void assertFailsOnce(String reason) throws Exception {
+        String failure = FakePeer.awaitNext(failures);
+        assertTrue(failure.startsWith(reason), failure);
         FakePeer.awaitNext(peer.closedConnections);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "reported twice");
@@ -112,7 +114,7 @@
             Fixture.writeWatchLine(socket, message.replace('\'', '"'));
         });
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce(message.endsWith(",") ? "message timeout" : "malformed message: ");
         assertTrue(lists.isEmpty());
     }
 
@@ -123,21 +125,31 @@
             FakePeer.RESET.run(socket, request);
         });
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce("connection failed: ");
+    }
+
+    @Test
+    void aResponseThatEndsFailsTheWatch() throws Exception {
+        peer.setScript(FakePeer.CLOSE);
+        subscribe(20_000);
+        assertFailsOnce("connection closed");
+        peer.setScript(FakePeer.respondWith("200 OK", "", ""));
+        subscribe(20_000);
+        assertFailsOnce("response ended");
     }
 
     @Test
     void anErrorStatusFailsTheWatch() throws Exception {
         peer.setScript(FakePeer.respondWith("503 Later", "", "busy"));
         subscribe(20_000);
-        assertFailsOnce();
+        assertFailsOnce("unexpected response status 503 Later");
     }
 
     @Test
     void anIdleWatchFails() throws Exception {
         peer.setScript((socket, request) -> Fixture.beginWatch(socket));
         subscribe(200);
-        assertFailsOnce();
+        assertFailsOnce("idle timeout");
     }
 
     @Test
@@ -146,7 +158,8 @@
             port = unused.getLocalPort();
         }
         subscribe(20_000);
-        FakePeer.awaitNext(failures);
+        String failure = FakePeer.awaitNext(failures);
+        assertTrue(failure.startsWith("connection failed: "), failure);
     }
 
     @Test
@@ -155,8 +168,8 @@
         Socket socket = FakePeer.awaitNext(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(socket);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
-        while (System.nanoTime() < until) {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
+        while (System.nanoTime() < endNs) {
             Fixture.writeWatchLine(socket, "");
             String failure = failures.poll(100, TimeUnit.MILLISECONDS);
             assertEquals(null, failure);
@@ -189,7 +202,7 @@
         assertEquals("response timeout", FakePeer.awaitNext(failures));
     }
 
-    /** Timed by the event loop: discovery queues the call and responds 1.3 s after it started. */
+    /** Discovery queues the second request and responds 1.3 s after it started, measured by the event loop. */
     @Test
     void waitsLongerForResponseAfterResponseTimeout() throws Exception {
         EventLoop loop = group.next();
@@ -199,10 +212,10 @@
         assertEquals("response timeout", FakePeer.awaitNext(failures));
         FakePeer.awaitNext(peer.accepted);
         loop.submit(watch::subscribe).get();
-        Socket queued = FakePeer.awaitNext(peer.accepted);
+        Socket queuedWatch = FakePeer.awaitNext(peer.accepted);
         loop.schedule(() -> {}, 1_300, TimeUnit.MILLISECONDS).get();
-        Fixture.beginWatch(queued);
-        Fixture.writeWatchLine(queued, Fixture.formatEndpointList(42, true, "Ready"));
+        Fixture.beginWatch(queuedWatch);
+        Fixture.writeWatchLine(queuedWatch, Fixture.formatEndpointList(42, true, "Ready"));
         assertEquals(42, FakePeer.awaitNext(lists).revision());
         assertTrue(failures.isEmpty());
     }
@@ -224,9 +237,9 @@
         Socket socket = FakePeer.awaitNext(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(socket);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
+        long timeoutNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.AWAIT_TIMEOUT_S);
         String failure = null;
-        while (failure == null && System.nanoTime() < until) {
+        while (failure == null && System.nanoTime() < timeoutNs) {
             FakePeer.write(socket, "1\r\n{\r\n");
             failure = failures.poll(20, TimeUnit.MILLISECONDS);
         }
@@ -246,15 +259,15 @@
         FakePeer.awaitNext(failures);
         try (FakePeer newDiscovery = new FakePeer(FakePeer.SILENT)) {
             EventLoop loop = group.next();
-            CountDownLatch after = new CountDownLatch(1);
+            CountDownLatch retryTimePassed = new CountDownLatch(1);
             loop.submit(() -> {
                         watch.subscribeAfter(100);
-                        loop.schedule(after::countDown, 150, TimeUnit.MILLISECONDS);
+                        loop.schedule(retryTimePassed::countDown, 150, TimeUnit.MILLISECONDS);
                         watch.changeAddress(new InetSocketAddress("127.0.0.1", newDiscovery.port()));
                     })
                     .get();
             assertTrue(newDiscovery.nextRequest().contains("after=41 "));
-            assertTrue(after.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
+            assertTrue(retryTimePassed.await(FakePeer.AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
             loop.submit(() -> {}).get();
             assertEquals(1, newDiscovery.accepted.size(), "the retry replaced an open watch");
             assertTrue(newDiscovery.closedConnections.isEmpty());
