--- a/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/DrainNotifications.java
@@ -11,7 +11,7 @@
  * microseconds since the load began.
  */
 final class DrainNotifications {
-    /** The longest time in which discovery notifies every node of a change (PROTOCOL, figures). */
+    /** The time within which discovery notifies every node of a change, according to the platform's protocol. */
     private static final long MAX_NOTIFICATION_DELAY_US = 6_000_000;
 
     private final int nodeCount;
--- a/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/InvariantChecker.java
@@ -25,8 +25,8 @@
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
     /**
-     * A node may close a new connection without reading it for one in this many requests; more are a violation
-     * (STANDING).
+     * The platform's rules allow a node to close a new connection without reading it for one in this many requests.
+     * More are a violation.
      */
     private static final int REQUESTS_PER_CLOSED_UNREAD = 200;
 
