--- a/testbed/src/main/java/tansypass/testbed/invariant/TimeTolerance.java
+++ b/testbed/src/main/java/tansypass/testbed/invariant/TimeTolerance.java
@@ -5,8 +5,8 @@
     /** The platform's protocol allows every time limit to be exceeded by this much when the run uses real sockets. */
     static final long TIMING_SLACK_US = 50_000;
     /**
-     * A response that arrives up to this much after its deadline has no value to the client. The platform's rules do not
-     * count it as a violation.
+     * A response that arrives up to this much after its deadline has no value to the client, but the platform's rules
+     * do not count it as a violation.
      */
     static final long LATE_RESPONSE_TOLERANCE_US = 500_000;
 
