--- a/config/src/main/java/tansypass/config/NodeFile.java
+++ b/config/src/main/java/tansypass/config/NodeFile.java
@@ -31,7 +31,8 @@
     /** The pattern that names must match. Names are used in paths, metrics and headers. */
     public static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9_.-]{0,63}";
     /** The description of {@link #NAME_PATTERN} in error messages. */
-    public static final String ALLOWED_NAMES = "1 to 64 letters, digits, '-', '_' or '.', no sign first";
+    public static final String ALLOWED_NAMES =
+            "1 to 64 letters, digits, '-', '_' or '.', starting with a letter or digit";
     /** The longest duration of any setting: one day, in microseconds. */
     public static final long MAX_DURATION_US = 86_400_000_000L;
 
--- a/config/src/main/java/tansypass/config/NodeFileReader.java
+++ b/config/src/main/java/tansypass/config/NodeFileReader.java
@@ -48,10 +48,10 @@
                 readLog(root.getTable("log")),
                 root.has("fleet") ? readCluster(root.getTable("fleet")) : null);
         if (node.isValid() && !service.zones().contains(file.zone())) {
-            node.addError("zone", "\"" + file.zone() + "\" is not among service.zones");
+            node.addError("zone", "\"" + file.zone() + "\" is not listed in service.zones");
         }
         if (file.discovery() == null && file.servers().isEmpty()) {
-            discovery.addError("address", "is missing, and there is no [[servers]]: one of both is needed");
+            discovery.addError("address", "is missing, and the file has no [[servers]]; one of the two is required");
         }
         requireUnique(root.getTables("servers"), "uid");
         return file;
@@ -60,7 +60,8 @@
     private static ClusterConfig readCluster(TomlTableReader cluster) {
         ProbeTiming timing = ProbeTiming.read(cluster);
         if (cluster.isValid() && timing.timeoutUs() >= timing.intervalUs()) {
-            cluster.addError("probe", "is not shorter than the period");
+            cluster.addError(
+                    "probe", timing.timeoutUs() + "us is not shorter than the period of " + timing.intervalUs() + "us");
         }
         InetSocketAddress listen = cluster.getAddress("listen", true);
         InetSocketAddress advertise = cluster.getAddress("advertise", false);
@@ -87,7 +88,7 @@
                 NodeFile.ALLOWED_NAMES,
                 service.zones().get(0));
         if (server.isValid() && !service.zones().contains(zone)) {
-            server.addError("zone", "\"" + zone + "\" is not among service.zones");
+            server.addError("zone", "\"" + zone + "\" is not listed in service.zones");
         }
         return new ServerConfig(
                 server.requireString("uid", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
@@ -127,7 +128,7 @@
         long latencyObjectiveUs = classReader.requireLatencyObjectiveUs();
         long deadlineUs = classReader.requireDeadlineUs();
         if (requestClass.isValid() && latencyObjectiveUs > deadlineUs) {
-            requestClass.addError("aim", "is past the deadline");
+            requestClass.addError("aim", latencyObjectiveUs + "us is longer than the deadline of " + deadlineUs + "us");
         }
         return new RequestClassConfig(
                 requestClass.requireString("name", NodeFile.NAME_PATTERN, NodeFile.ALLOWED_NAMES),
@@ -150,12 +151,12 @@
         Set<String> seen = new HashSet<>();
         for (TomlTableReader table : tables) {
             if (!seen.add(readAnyText(table, key))) {
-                table.addError(key, "\"" + readAnyText(table, key) + "\" is there twice");
+                table.addError(key, "\"" + readAnyText(table, key) + "\" is used more than once");
             }
         }
     }
 
     private static String readAnyText(TomlTableReader table, String key) {
-        return table.getString(key, ".*", "text", "");
+        return table.getString(key, ".*", "a string", "");
     }
 }
--- a/config/src/main/java/tansypass/config/TomlFile.java
+++ b/config/src/main/java/tansypass/config/TomlFile.java
@@ -70,11 +70,11 @@
             if (Files.size(path) <= MAX_BYTES) {
                 return Files.readString(path);
             }
-            problem = "over " + MAX_BYTES + " bytes";
+            problem = "the file is larger than the maximum of " + MAX_BYTES + " bytes";
         } catch (MalformedInputException e) {
-            problem = "not UTF-8";
+            problem = "the file is not valid UTF-8";
         } catch (IOException | InvalidPathException e) {
-            problem = "can't be read: " + e;
+            problem = "the file can't be read: " + e;
         }
         throw new InvalidConfigException(List.of(new ConfigError(file, 0, "", problem)));
     }
--- a/config/src/main/java/tansypass/config/TomlTableReader.java
+++ b/config/src/main/java/tansypass/config/TomlTableReader.java
@@ -200,7 +200,7 @@
     public List<TomlTableReader> requireTables(String key) {
         List<TomlTableReader> tables = getTables(key);
         if (tables.isEmpty()) {
-            addError(key, "is missing: at least one [[" + key + "]] is needed");
+            addError(key, "is missing; at least one table [[" + key + "]] is required");
         }
         return tables;
     }
--- a/config/src/main/java/tansypass/config/ValueType.java
+++ b/config/src/main/java/tansypass/config/ValueType.java
@@ -79,7 +79,7 @@
     /** Returns the type of durations with a unit, such as {@code "250ms"}, which are converted to microseconds. */
     static ValueType<Long> durationUs(long minUs, long maxUs) {
         String allowed =
-                "a length of time in quotes with us, ms, s, m or h, from \"" + minUs + "us\" to \"" + maxUs + "us\"";
+                "a duration in quotes with the unit us, ms, s, m or h, from \"" + minUs + "us\" to \"" + maxUs + "us\"";
         return new ValueType<>(allowed, value -> {
             Matcher parts = DURATION.matcher(value instanceof String s ? s : "");
             if (!parts.matches()) {
@@ -138,7 +138,7 @@
 
     /** Returns the type of lists of strings that each match a pattern. */
     static ValueType<List<String>> strings(String pattern, String allowed) {
-        return new ValueType<>("a list of texts, each " + allowed, value -> {
+        return new ValueType<>("a list of strings, each " + allowed, value -> {
             if (!(value instanceof TomlArray array)) {
                 return null;
             }
--- a/config/src/test/java/tansypass/config/NodeFileTest.java
+++ b/config/src/test/java/tansypass/config/NodeFileTest.java
@@ -85,12 +85,12 @@
                                 + " \"127.0.0.1:8443\"",
                         "F:3: node.sockets: 3 is not allowed; allowed: a whole number from 66 to 1000000",
                         "F:4: node.nmae: is not known; allowed here: name, listen, admin, zone, sockets, seed",
-                        "F:8: servers[0].zone: \"b\" is not among service.zones",
-                        "F:10: servers[1].uid: \"s\" is there twice",
+                        "F:8: servers[0].zone: \"b\" is not listed in service.zones",
+                        "F:10: servers[1].uid: \"s\" is used more than once",
                         "F:11: servers[1].endpoint: 7 is not allowed; allowed: an address and port, such as"
                                 + " \"127.0.0.1:8443\"",
                         "F:14: classes[0].repeat: \"never\" is not allowed; allowed: one of safe, keyed, unsafe",
-                        "F:19: classes[1].aim: is past the deadline"),
+                        "F:19: classes[1].aim: 2000000us is longer than the deadline of 1000000us"),
                 errors);
     }
 
@@ -114,7 +114,7 @@
                 readErrors(MINIMAL, Map.of("TANSYPASS_NODE_SOCKETS", "many")));
     }
 
-    /** The first value has the wrong type. The second is out of range, or empty if the type has no range. */
+    /** Each row has a key, a value of the wrong type, and one out of range, which is empty if the type has no range. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
+++ b/testbed/src/main/java/tansypass/testbed/scenario/ScenarioFile.java
@@ -122,7 +122,10 @@
     private static RequestClass readRequestClass(TomlTableReader table) {
         RequestClassReader commonKeys = new RequestClassReader(table, HOUR_US);
         return new RequestClass(
-                table.requireString("name", "[a-z][a-z0-9-]{0,31}", "a small letter, then letters, digits, -"),
+                table.requireString(
+                        "name",
+                        "[a-z][a-z0-9-]{0,31}",
+                        "a lower-case letter, then up to 31 lower-case letters, digits or '-'"),
                 table.getDouble("share", 0, 1e6, 1),
                 commonKeys.readIdempotency(),
                 commonKeys.readDeduplicationScope(),
@@ -139,8 +142,8 @@
             table.addError(
                     "on",
                     kind.isLinkFault()
-                            ? "a fault of a link needs its two ends"
-                            : "a fault of a process needs one name");
+                            ? "a fault of a link needs the names of both ends, but the list has " + targets.size()
+                            : "a fault of a process needs one name, but the list has " + targets.size());
         }
         long startUs = table.requireDurationUs("at", 0, HOUR_US);
         long durationUs = table.getDurationUs("lasts", 0, HOUR_US, 1_000_000);
@@ -168,7 +171,7 @@
                     ? scenario.nodes().count()
                     : scenario.servers().count();
             if (target.matches(".*[0-9]") && Integer.parseInt(target.substring(target.indexOf('-') + 1)) >= count) {
-                table.addError("on", "\"" + target + "\" is not there: they are numbered 0 to " + (count - 1));
+                table.addError("on", "\"" + target + "\" does not exist; the numbers go from 0 to " + (count - 1));
             }
         }
         String firstTarget = fault.targets().get(0);
@@ -188,10 +191,10 @@
         if (!isAllowed) {
             table.addError(
                     "on",
-                    "this kind of fault can't be on " + String.join(" and ", fault.targets())
-                            + "; links are from node to server or node, or from clients to node");
+                    "this kind of fault can't affect " + String.join(" and ", fault.targets())
+                            + "; a link goes from a node to a server or node, or from clients to a node");
         } else if (fault.isBetweenNodes() && scenario.cluster() == null) {
-            table.addError("on", "is a link between nodes, which need [fleet] to have one");
+            table.addError("on", "is a link between nodes, which exists only if the file has [fleet]");
         }
     }
 }
--- a/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
+++ b/testbed/src/test/java/tansypass/testbed/scenario/ScenarioFileTest.java
@@ -23,18 +23,17 @@
     @Test
     void reportsInvalidFaultTargetWithLine() {
         assertEquals(
-                List.of("23 faults[0].on: this kind of fault can't be on server-0; links are from node"
-                        + " to"
-                        + " server or node, or from clients to node"),
+                List.of("23 faults[0].on: this kind of fault can't affect server-0; a link goes from a node to"
+                        + " a server or node, or from clients to a node"),
                 errorsOf(TestScenarios.fault("term", "\"server-0\"", "1s", "1s", "")));
         assertEquals(
-                List.of("23 faults[0].on: \"server-9\" is not there: they are numbered 0 to 3"),
+                List.of("23 faults[0].on: \"server-9\" does not exist; the numbers go from 0 to 3"),
                 errorsOf(TestScenarios.fault("kill", "\"server-9\"", "1s", "1s", "")));
         assertEquals(
-                List.of("23 faults[0].on: a fault of a link needs its two ends"),
+                List.of("23 faults[0].on: a fault of a link needs the names of both ends, but the list has 1"),
                 errorsOf(TestScenarios.fault("cut", "\"node-0\"", "1s", "1s", "")));
         assertEquals(
-                List.of("23 faults[0].on: is a link between nodes, which need [fleet] to have one"),
+                List.of("23 faults[0].on: is a link between nodes, which exists only if the file has [fleet]"),
                 errorsOf(TestScenarios.fault("cut", "\"node-0\", \"node-1\"", "1s", "1s", "")));
     }
 
@@ -46,7 +45,7 @@
                                 + " choke, hang,"
                                 + " errors, silence, cut, delay, jitter, rate, reset,"
                                 + " loss, half-open, duplicate, reorder",
-                        "23 faults[0].on: a list is not allowed; allowed: a list of texts, each node-N, server-N,"
+                        "23 faults[0].on: a list is not allowed; allowed: a list of strings, each node-N, server-N,"
                                 + " node-*,"
                                 + " server-*, clients or discovery",
                         "26 faults[0].amuont: is not known; allowed here: kind, on, at, lasts, way, amount, time"),
