--- a/cli/src/main/java/tansypass/cli/BenchCommand.java
+++ b/cli/src/main/java/tansypass/cli/BenchCommand.java
@@ -13,12 +13,14 @@
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Measure the overhead of the testbed: a link compared to none, and the load of one thread.")
+        description =
+                "Measure the overhead of the testbed: a link through the testbed compared with a direct connection, and"
+                        + " the request rate of one thread.")
 final class BenchCommand implements Callable<Integer> {
     @Option(
             names = "--runs",
             defaultValue = "5",
-            description = "number of runs of each measurement, alternating; medians are printed; default 5")
+            description = "number of runs of each measurement; runs alternate, and medians are printed; default 5")
     private int runs;
 
     @Spec
--- a/cli/src/main/java/tansypass/cli/CheckCommand.java
+++ b/cli/src/main/java/tansypass/cli/CheckCommand.java
@@ -14,8 +14,8 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description =
-                "Validate a node's configuration file: every error with file, line, key, value and what is allowed.")
+        description = "Validate a node's configuration file. Print every error with its file, line and key, the invalid"
+                + " value and the allowed values.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the node's TOML file")
     private String file;
--- a/cli/src/main/java/tansypass/cli/ClusterCommand.java
+++ b/cli/src/main/java/tansypass/cli/ClusterCommand.java
@@ -19,8 +19,9 @@
         name = "cluster",
         aliases = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Measure membership in virtual time: how soon all views show a failure, a join and a healed"
-                + " partition, the cost, and the rate of false positives.")
+        description =
+                "Measure the membership protocol in virtual time: the time until all views show a failure, a join or"
+                        + " the end of a partition, the cost, and the rate of false positives.")
 final class ClusterCommand implements Callable<Integer> {
     @Option(
             names = "--nodes",
--- a/cli/src/main/java/tansypass/cli/ConfigReloader.java
+++ b/cli/src/main/java/tansypass/cli/ConfigReloader.java
@@ -82,8 +82,8 @@
         return keys;
     }
 
-    private static void addIfChanged(List<String> keys, String key, Object old, Object changed) {
-        if (!Objects.equals(old, changed)) {
+    private static void addIfChanged(List<String> keys, String key, Object oldValue, Object newValue) {
+        if (!Objects.equals(oldValue, newValue)) {
             keys.add(key);
         }
     }
--- a/cli/src/main/java/tansypass/cli/ExploreCommand.java
+++ b/cli/src/main/java/tansypass/cli/ExploreCommand.java
@@ -27,12 +27,15 @@
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
-        description = "Run a scenario under random fault schedules in virtual time on all cores, and shrink one that"
-                + " violates an invariant. Exit code 3: one was found.")
+        description =
+                "Run a scenario in virtual time under random fault schedules, on all cores. A schedule that violates"
+                        + " an invariant is reduced to fewer faults and saved, and the exit code is 3.")
 final class ExploreCommand implements Callable<Integer> {
     private static final long PROGRESS_INTERVAL_NS = 5_000_000_000L;
 
-    @Parameters(paramLabel = "FILE", description = "the scenario (TOML); random faults are added to its own")
+    @Parameters(
+            paramLabel = "FILE",
+            description = "the scenario (TOML); random faults are added to the faults in the file")
     private String file;
 
     @Option(
--- a/cli/src/main/java/tansypass/cli/MembersCommand.java
+++ b/cli/src/main/java/tansypass/cli/MembersCommand.java
@@ -15,7 +15,8 @@
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
-        description = "Print a member's view of the cluster. Exit code 3 with --all: views differ.")
+        description = "Print a member's view of the cluster. With --all, the exit code is 3 if views differ or a"
+                + " member does not respond.")
 final class MembersCommand implements Callable<Integer> {
     private static final String ROW_FORMAT = "%-16s %-9s %-10s %-9s %15s %5s %9s  %s%n";
 
--- a/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
+++ b/cli/src/main/java/tansypass/cli/MembershipSnapshot.java
@@ -61,7 +61,7 @@
         return getText(json, "deployment");
     }
 
-    /** Returns whether the viewer is joining, has joined, or is superseded by another process of its name. */
+    /** Returns the standing of the viewer: joining, joined, or outside if another process of its name superseded it. */
     String standing() {
         return getText(json, "standing");
     }
--- a/cli/src/main/java/tansypass/cli/StatusCommand.java
+++ b/cli/src/main/java/tansypass/cli/StatusCommand.java
@@ -14,7 +14,8 @@
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Print whether a node serves clients, and its metrics. Exit code 3: it does not.")
+        description =
+                "Print the state and the metrics of a node. The exit code is 3 if the node does not serve clients.")
 final class StatusCommand implements Callable<Integer> {
     @Parameters(paramLabel = "ADMIN", description = "the node's admin address, such as 127.0.0.1:9443")
     private String address;
--- a/cli/src/main/java/tansypass/cli/Tansypass.java
+++ b/cli/src/main/java/tansypass/cli/Tansypass.java
@@ -11,13 +11,13 @@
         name = "tansypass",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
-        description = "A load-balancing proxy node, and tools for clusters of it.",
+        description = "Runs a load-balancing proxy node, and has tools to query, test and measure clusters of nodes.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done",
-            "1:it could not be done",
-            "2:unusable command line or file",
-            "3:done, and the answer is no"
+            "0:the command succeeded",
+            "1:the command failed",
+            "2:the command line or a file is invalid",
+            "3:the command succeeded with a negative result, which the help of the command describes"
         },
         subcommands = {
             NodeCommand.class,
@@ -35,6 +35,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "Which command?");
+        throw new ParameterException(spec.commandLine(), "a command is missing; see the list of commands");
     }
 }
--- a/cli/src/main/java/tansypass/cli/TestbedCommand.java
+++ b/cli/src/main/java/tansypass/cli/TestbedCommand.java
@@ -33,21 +33,22 @@
             ClusterCommand.class,
             BenchCommand.class
         },
-        description = "Run scenarios of nodes, servers, load and faults, and check invariants.")
+        description = "Run nodes and simulated servers under load and faults, and check invariants.")
 final class TestbedCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "Which command of the testbed?");
+        throw new ParameterException(
+                spec.commandLine(), "a command of the testbed is missing; see the list of commands");
     }
 
     /** Runs one scenario. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Run a scenario and check invariants. Exit code 3: one was violated.")
+            description = "Run a scenario and check invariants. The exit code is 3 if an invariant was violated.")
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the scenario (TOML)")
         private String file;
@@ -58,7 +59,9 @@
         @Mixin
         private JsonOption json;
 
-        @Option(names = "--virtual", description = "run in virtual time, where the same seed gives the same trace")
+        @Option(
+                names = "--virtual",
+                description = "simulate the run in virtual time; the same seed then gives the same trace")
         private boolean inVirtualTime;
 
         @Option(
--- a/cli/src/main/java/tansypass/cli/WatchCommand.java
+++ b/cli/src/main/java/tansypass/cli/WatchCommand.java
@@ -18,7 +18,7 @@
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
-        description = "Print the state and the increase of the metrics of some nodes repeatedly, until Ctrl-C.")
+        description = "Print the state of nodes and the increase of their metrics at intervals, until Ctrl-C.")
 final class WatchCommand implements Callable<Integer> {
     private static final String ROW_FORMAT = "%-21s %-10s %9s %9s %9s %9s %9s %8s%n";
 
--- a/cli/src/test/java/tansypass/cli/MembersTest.java
+++ b/cli/src/test/java/tansypass/cli/MembersTest.java
@@ -116,7 +116,7 @@
         return output;
     }
 
-    private static String row(int node, String state) {
+    private static String formatRow(int node, String state) {
         return "n%-15d %-9s".formatted(node, state);
     }
 
@@ -126,7 +126,13 @@
             start(i);
         }
         for (int i = 0; i < NODE_COUNT; i++) {
-            awaitMembersOutput(i, List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"), row(3, "alive")));
+            awaitMembersOutput(
+                    i,
+                    List.of(
+                            formatRow(0, "alive"),
+                            formatRow(1, "alive"),
+                            formatRow(2, "alive"),
+                            formatRow(3, "alive")));
         }
         String all = awaitMembersOutput(0, List.of("4 asked, 0 members disagreed about, 0 silent"), "--all");
         assertTrue(all.startsWith(Exit.OK + "\n"), all);
@@ -136,11 +142,11 @@
                 outputAfterKill.startsWith(Exit.NEGATIVE + "\n") && outputAfterKill.contains("no answer from n3"),
                 outputAfterKill);
         for (int i = 0; i < 3; i++) {
-            awaitMembersOutput(i, List.of(row(3, "failed")));
+            awaitMembersOutput(i, List.of(formatRow(3, "failed")));
         }
         start(3);
         for (int i = 0; i < NODE_COUNT; i++) {
-            awaitMembersOutput(i, List.of(row(3, "alive")));
+            awaitMembersOutput(i, List.of(formatRow(3, "alive")));
         }
         assertEquals(
                 0,
@@ -150,7 +156,7 @@
                         .waitFor());
         assertEquals(0, processes.get(2).waitFor());
         for (int i : new int[] {0, 1, 3}) {
-            awaitMembersOutput(i, List.of(row(2, "left")));
+            awaitMembersOutput(i, List.of(formatRow(2, "left")));
             awaitLogLine(i, "member state changed event=\"member.left\" member=\"n2\"");
         }
     }
@@ -169,13 +175,13 @@
         for (int i = 0; i < 3; i++) {
             start(i);
         }
-        List<String> allAlive = List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"));
+        List<String> allAlive = List.of(formatRow(0, "alive"), formatRow(1, "alive"), formatRow(2, "alive"));
         awaitMembersOutput(0, allAlive);
         Pattern generation = Pattern.compile("(?m)^n2 .* ([0-9]{10,})");
         Matcher generationBefore = generation.matcher(awaitMembersOutput(1, allAlive));
         assertTrue(generationBefore.find());
         processes.get(2).destroyForcibly().waitFor();
-        awaitMembersOutput(0, List.of(row(2, "failed")));
+        awaitMembersOutput(0, List.of(formatRow(2, "failed")));
         start(2, "--wall-clock-offset", "-3600000");
         for (int i = 0; i < 3; i++) {
             Matcher generationAfter = generation.matcher(awaitMembersOutput(i, allAlive));
@@ -240,7 +246,7 @@
         for (int i = 0; i < 3; i++) {
             start(i);
         }
-        List<String> allAlive = List.of(row(0, "alive"), row(1, "alive"), row(2, "alive"));
+        List<String> allAlive = List.of(formatRow(0, "alive"), formatRow(1, "alive"), formatRow(2, "alive"));
         for (int i = 0; i < 3; i++) {
             awaitMembersOutput(i, allAlive);
         }
