--- a/node/src/test/java/tansypass/node/ClientFloodTest.java
+++ b/node/src/test/java/tansypass/node/ClientFloodTest.java
@@ -121,7 +121,8 @@
             openWithPartialRequest(i, 10, 3);
         }
         for (int i = 0; i < 3; i++) {
-            // With the first response, all connections above have been accepted; with the last, they have been read.
+            // The node accepts all connections above before it sends the first response, and reads them before it sends
+            // the last response.
             assertReady(readyClient);
         }
         for (int i = 0; i < 10; i++) {
--- a/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
+++ b/testbed/src/main/java/tansypass/testbed/process/MembershipLinks.java
@@ -109,16 +109,16 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer from = nodeByHost.get(packet.sender().getAddress().getHostAddress());
-            if (from == null) {
+            Integer sendingNode = nodeByHost.get(packet.sender().getAddress().getHostAddress());
+            if (sendingNode == null) {
                 return;
             }
             long nowUs = scheduler.nowUs();
-            for (long dueUs :
-                    linkMatrix.datagramDueUs(from, to, nowUs, packet.content().readableBytes())) {
+            for (long dueUs : linkMatrix.datagramDueUs(
+                    sendingNode, to, nowUs, packet.content().readableBytes())) {
                 ByteBuf copy = packet.content().copy();
-                Runnable forward =
-                        () -> proxyChannels.get(from).writeAndFlush(new DatagramPacket(copy, nodeAddresses.get(to)));
+                Runnable forward = () ->
+                        proxyChannels.get(sendingNode).writeAndFlush(new DatagramPacket(copy, nodeAddresses.get(to)));
                 if (dueUs <= nowUs) {
                     forward.run();
                 } else {
--- a/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
+++ b/testbed/src/main/java/tansypass/testbed/process/ProcessRunContext.java
@@ -50,7 +50,7 @@
                 scheduler, scenario.nodes().count(), scenario.clients().failureDetectionUs());
     }
 
-    /** Returns the key of the link from a node to a server, the same as {@code FaultSchedule.faultyLinks} returns. */
+    /** Returns the key of the link from a node to a server. {@code FaultSchedule.faultyLinks} returns the same keys. */
     int linkKey(int node, int server) {
         return node * scenario.servers().count() + server;
     }
--- a/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
+++ b/testbed/src/test/java/tansypass/testbed/exploration/InjectedBugsTest.java
@@ -49,7 +49,8 @@
                 .orElseThrow(() -> new AssertionError("no violation found in " + MAX_RUNS + " schedules"));
         assertEquals(invariant, found.violation().invariant(), found.toString());
         assertTrue(found.smallestScenario().faults().size() <= 2, found.toString());
-        // Written to a file and read again, the scenario gives the same violation, and none with the product's parts.
+        // The scenario gives the same violation after it has been written as TOML and read again. With the product's
+        // own parts it gives none.
         Scenario reloaded = TestScenarios.of(ScenarioToml.of(found.smallestScenario()));
         InvariantChecker replayed = SimulationRun.run(reloaded, found.seed(), faultyParts);
         assertTrue(replayed.violations().contains(found.violation()), found + " is not in " + replayed.violations());
--- a/testbed/src/test/java/tansypass/testbed/invariant/InvariantCheckerTest.java
+++ b/testbed/src/test/java/tansypass/testbed/invariant/InvariantCheckerTest.java
@@ -92,7 +92,8 @@
         checker.attemptEnded(4 * US_PER_MS, "x", checker.attemptStarted(3 * US_PER_MS, "x", 1), false);
         assertViolations();
         checker.attemptStarted(5 * US_PER_MS, "x", 2);
-        // One violation for each of the two servers of the other cell, where it may have been executed.
+        // The checker reports one violation for each of the two servers of the other cell, because each of them may
+        // have executed the request.
         assertViolations(Invariant.REPEATED, Invariant.REPEATED);
     }
 
